--- a/src/platform/runner_registry.rs
+++ b/src/platform/runner_registry.rs
@@ -16,13 +16,13 @@
 use crate::ids::RunnerId;
 use crate::ids::StartMillis;
 use crate::platform::life_name::life_name;
-use crate::process::node::known_runner::KnownRunner;
+use crate::process::node::registered_runner::RegisteredRunner;
 use crate::workflow::spec::RoomAmount;
 
 /// Takes what runners say.
 pub trait RunnerRegistry: Send + Sync {
     /// Takes a heartbeat.
-    fn on_beat(&self, runner: KnownRunner);
+    fn on_heartbeat(&self, runner: RegisteredRunner);
     /// Takes note that a runner says that it ends. Which of its lives says so is not told, and it may have said so long ago.
     fn on_leave(&self, runner: &str);
 }
@@ -92,7 +92,7 @@
     };
     let address = beat.address.to_string();
     let (sequence, started_at) = (beat.sequence, beat.started_at);
-    registry.on_beat(KnownRunner { runner, status, address, sequence, started_at });
+    registry.on_heartbeat(RegisteredRunner { runner, status, address, sequence, started_at });
     Json(Value::Object(serde_json::Map::new()))
 }
 
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -2,13 +2,13 @@
 
 pub mod begun_runs;
 pub mod fence;
-pub mod known_runner;
 pub mod life_keeper;
 pub mod order_book;
 pub mod order_sequence;
 pub mod order_tries;
 pub mod orders;
 pub mod pending_start;
+pub mod registered_runner;
 pub mod rpc;
 pub mod run_orders;
 pub mod run_start;
--- a/src/process/node/known_runner.rs
+++ b/src/process/node/registered_runner.rs
@@ -6,7 +6,7 @@
 
 /// The runner on this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownRunner {
+pub struct RegisteredRunner {
     /// Its id, under which it may have had lives before.
     pub runner: RunnerId,
     /// What it says of itself.
@@ -21,11 +21,11 @@
 
 /// What a heartbeat changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BeatEffect {
+pub enum HeartbeatEffect {
     /// The planner should hear of it at once.
-    News,
+    Changed,
     /// Nothing, or nothing yet.
-    None,
+    Unchanged,
     /// It is dropped: it speaks of a life that is over.
     Dropped,
 }
--- a/src/process/node/runner_lives.rs
+++ b/src/process/node/runner_lives.rs
@@ -10,8 +10,8 @@
 use crate::connection::node_protocol::YoungRun;
 use crate::ids::InstanceId;
 use crate::ids::LookNumber;
-use crate::process::node::known_runner::BeatEffect;
-use crate::process::node::known_runner::KnownRunner;
+use crate::process::node::registered_runner::HeartbeatEffect;
+use crate::process::node::registered_runner::RegisteredRunner;
 
 /// Former lives that are remembered, for heartbeats and orders that come late.
 const FORMER_LIVES: usize = 8;
@@ -23,14 +23,14 @@
 /// What is known of the lives.
 #[derive(Debug, Default)]
 pub struct RunnerLives {
-    present: Option<KnownRunner>,
+    present: Option<RegisteredRunner>,
     /// Another life that has registered, and the newest look then.
-    candidate: Option<(LookNumber, KnownRunner)>,
+    candidate: Option<(LookNumber, RegisteredRunner)>,
     former: VecDeque<InstanceId>,
     /// Lives that earlier agents here have stored; over, but for the present one, when that one answers.
     earlier: Vec<InstanceId>,
     /// The last life, while the next one under its id has not registered, and up to when calls for that may stay without an answer.
-    awaited: Option<(KnownRunner, Instant)>,
+    awaited: Option<(RegisteredRunner, Instant)>,
     /// Lives that broke off, and when that was noticed.
     crashes: Vec<(Instant, RunnerCrash)>,
     /// The newest look when the runner said that it ends, until a later one shows that its present life goes on.
@@ -43,7 +43,7 @@
     /// ```
     /// assert!(greengagearch::process::node::runner_lives::RunnerLives::default().present().is_none());
     /// ```
-    pub fn present(&self) -> Option<&KnownRunner> {
+    pub fn present(&self) -> Option<&RegisteredRunner> {
         self.present.as_ref()
     }
 
@@ -66,29 +66,33 @@
     }
 
     /// Takes a heartbeat that came when `newest` was the newest look.
-    pub fn on_beat(&mut self, runner: KnownRunner, newest: LookNumber) -> BeatEffect {
+    pub fn on_heartbeat(
+        &mut self,
+        runner: RegisteredRunner,
+        newest: LookNumber,
+    ) -> HeartbeatEffect {
         let instance = &runner.status.instance;
         if self.former.contains(instance) {
-            return BeatEffect::Dropped;
+            return HeartbeatEffect::Dropped;
         }
         match &self.present {
             Some(known) if known.status.instance == *instance => {
                 if runner.sequence <= known.sequence {
-                    return BeatEffect::None;
+                    return HeartbeatEffect::Unchanged;
                 }
                 let is_news = known.status != runner.status;
                 self.present = Some(runner);
-                if is_news { BeatEffect::News } else { BeatEffect::None }
+                if is_news { HeartbeatEffect::Changed } else { HeartbeatEffect::Unchanged }
             }
             Some(_) => {
                 // Either the known life has ended or this heartbeat is an old one that was held up; the
                 // next look at the known life tells.
                 self.candidate = Some((newest, runner));
-                BeatEffect::None
+                HeartbeatEffect::Unchanged
             }
             None => {
                 self.install(runner);
-                BeatEffect::News
+                HeartbeatEffect::Changed
             }
         }
     }
@@ -146,7 +150,8 @@
 
     /// Remembers what was young on the present life, which has broken off. A runner that is leaving ends as it said.
     pub fn note_crash(&mut self, young: Vec<YoungRun>, now: Instant) {
-        let has_said_so = |runner: &&KnownRunner| runner.status.draining || self.left_at.is_some();
+        let has_said_so =
+            |runner: &&RegisteredRunner| runner.status.draining || self.left_at.is_some();
         if let Some(runner) = self.present.as_ref().filter(|runner| !has_said_so(runner)) {
             let instance = runner.status.instance.clone();
             self.crashes.push((now, RunnerCrash { instance, young }));
@@ -193,7 +198,7 @@
     /// ```
     /// assert!(greengagearch::process::node::runner_lives::RunnerLives::default().awaited().is_none());
     /// ```
-    pub fn awaited(&self) -> Option<&KnownRunner> {
+    pub fn awaited(&self) -> Option<&RegisteredRunner> {
         self.awaited.as_ref().map(|(last, _)| last)
     }
 
@@ -219,7 +224,7 @@
         self.former.iter().cloned().collect()
     }
 
-    fn install(&mut self, runner: KnownRunner) {
+    fn install(&mut self, runner: RegisteredRunner) {
         self.awaited = None;
         self.present = Some(runner);
     }
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -5,7 +5,7 @@
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerTarget;
 use crate::process::node::fence::fencing_token;
-use crate::process::node::known_runner::KnownRunner;
+use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::state::NodeState;
 
 impl NodeState {
@@ -14,7 +14,7 @@
         self.target_of(self.lives.present()?, self.fence_raise)
     }
 
-    fn target_of(&self, runner: &KnownRunner, fence_raise: u32) -> Option<RunnerTarget> {
+    fn target_of(&self, runner: &RegisteredRunner, fence_raise: u32) -> Option<RunnerTarget> {
         let epoch = self.stamp.epoch;
         (epoch > 0).then(|| RunnerTarget {
             address: runner.address.clone(),
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -14,8 +14,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::metrics::ProcessMetrics;
-use crate::process::node::known_runner::BeatEffect;
-use crate::process::node::known_runner::KnownRunner;
+use crate::process::node::registered_runner::HeartbeatEffect;
+use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::state::NodeState;
 
 /// Orders on their way to the runner at once: each takes a connection, and new ones are priced. More than
@@ -71,14 +71,14 @@
 }
 
 impl RunnerRegistry for NodeShared {
-    fn on_beat(&self, runner: KnownRunner) {
+    fn on_heartbeat(&self, runner: RegisteredRunner) {
         let instance = runner.status.instance.clone();
         let (sequence, draining) = (runner.sequence, runner.status.draining);
         let started_at = runner.started_at.map_or(String::new(), |at| at.to_string());
-        let effect = self.state().on_beat(runner);
+        let effect = self.state().on_heartbeat(runner);
         let event = match effect {
-            BeatEffect::News => "runner_changed",
-            BeatEffect::Dropped if self.is_first_dropped(&instance) => "heartbeat_dropped",
+            HeartbeatEffect::Changed => "runner_changed",
+            HeartbeatEffect::Dropped if self.is_first_dropped(&instance) => "heartbeat_dropped",
             _ => return,
         };
         log_event(
@@ -91,7 +91,7 @@
                 ("draining", &draining),
             ],
         );
-        if effect == BeatEffect::News {
+        if effect == HeartbeatEffect::Changed {
             self.news.notify_one();
             self.look.notify_one();
             self.life_changed.notify_one();
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -20,12 +20,12 @@
 use crate::ids::InstanceId;
 use crate::ids::LookNumber;
 use crate::process::node::begun_runs::BegunRuns;
-use crate::process::node::known_runner::BeatEffect;
-use crate::process::node::known_runner::KnownRunner;
 use crate::process::node::order_book::OrderBook;
 use crate::process::node::order_book::has_ended;
 use crate::process::node::order_book::is_among;
 use crate::process::node::order_sequence::OrderSequence;
+use crate::process::node::registered_runner::HeartbeatEffect;
+use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::runner_lease::RunnerLease;
 use crate::process::node::runner_lives::RunnerLives;
 use crate::process::node::unsettled_starts::UnsettledStarts;
@@ -139,9 +139,9 @@
     }
 
     /// Takes a heartbeat of the runner.
-    pub fn on_beat(&mut self, runner: KnownRunner) -> BeatEffect {
-        let effect = self.lives.on_beat(runner, self.book.newest_look());
-        self.has_news |= effect == BeatEffect::News;
+    pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
+        let effect = self.lives.on_heartbeat(runner, self.book.newest_look());
+        self.has_news |= effect == HeartbeatEffect::Changed;
         effect
     }
 
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -19,10 +19,10 @@
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
 use crate::linked_agent::look_at;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 use crate::linked_agent::start_order;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
@@ -54,9 +54,9 @@
     }
 
     fn beat(&mut self, sequence: u64, draining: bool) {
-        let mut runner = known_runner(1_000, 1_000, sequence);
+        let mut runner = registered_runner(1_000, 1_000, sequence);
         runner.status.draining = draining;
-        self.state.on_beat(runner);
+        self.state.on_heartbeat(runner);
     }
 
     fn target(&self) -> RunnerTarget {
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -29,8 +29,8 @@
 use tokio::time::timeout;
 
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 
 const TARGET_MS: u64 = 125;
 /// Tails of the task that serves: with nothing beside it, and with far too much.
@@ -156,7 +156,7 @@
 /// An agent that looks at a runner, but does not know yet what runs there.
 fn watching(control: Arc<RunnerHandle>) -> Arc<NodeShared> {
     let shared = Arc::new(NodeShared::new(control));
-    shared.state().on_beat(known_runner(4_000, 4_000, 1));
+    shared.state().on_heartbeat(registered_runner(4_000, 4_000, 1));
     shared.state().admit(LinkStamp { epoch: 1, link: 1 }).unwrap();
     spawn_watcher(shared.clone());
     shared
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -13,7 +13,7 @@
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::node_protocol::TaskTraits;
 use greengagearch::external::runner_control::RunnerLists;
-use greengagearch::process::node::known_runner::KnownRunner;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::spec::RoomAmount;
 
@@ -21,7 +21,7 @@
 pub const LONG_LEASE: Duration = Duration::from_secs(9);
 
 /// The runner beside the agent; its start time is not known.
-pub fn known_runner(millicores: u64, memory_mib: u64, sequence: u64) -> KnownRunner {
+pub fn registered_runner(millicores: u64, memory_mib: u64, sequence: u64) -> RegisteredRunner {
     let status = RunnerStatus {
         instance: "i-1".to_string(),
         service: "s".to_string(),
@@ -31,7 +31,7 @@
         draining: false,
     };
     let (runner, address) = ("i-1".to_string(), "127.0.0.1:1".to_string());
-    KnownRunner { runner, status, address, sequence, started_at: None }
+    RegisteredRunner { runner, status, address, sequence, started_at: None }
 }
 
 /// Traits of a task that neither serves nor fills.
@@ -53,7 +53,7 @@
     StartOrder { run: 1, payload, checkpoint, ticket: None, traits, is_repeat }
 }
 
-/// A planner's call that grants a lease to the runner of [`known_runner`].
+/// A planner's call that grants a lease to the runner of [`registered_runner`].
 pub fn lease_call(stamp: LinkStamp, span: Duration) -> SyncCall {
     SyncCall {
         stamp,
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -15,8 +15,8 @@
 use greengagearch::external::runner_control::RunnerError;
 use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::process::node::fence::fencing_token;
-use greengagearch::process::node::known_runner::BeatEffect;
-use greengagearch::process::node::known_runner::KnownRunner;
+use greengagearch::process::node::registered_runner::HeartbeatEffect;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::RoomAmount;
@@ -24,7 +24,7 @@
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
 
-fn runner(instance: &str, sequence: u64) -> KnownRunner {
+fn runner(instance: &str, sequence: u64) -> RegisteredRunner {
     let status = RunnerStatus {
         instance: instance.to_string(),
         service: "s".to_string(),
@@ -34,13 +34,13 @@
         draining: false,
     };
     let address = "127.0.0.1:1".to_string();
-    KnownRunner { runner: instance.to_string(), status, address, sequence, started_at: None }
+    RegisteredRunner { runner: instance.to_string(), status, address, sequence, started_at: None }
 }
 
 /// A life of the runner `i-1`, which is back under its id after each crash.
-fn life(started_at: u64, sequence: u64) -> KnownRunner {
+fn life(started_at: u64, sequence: u64) -> RegisteredRunner {
     let known = runner(&format!("i-1@{started_at}"), sequence);
-    KnownRunner { runner: "i-1".to_string(), started_at: Some(started_at), ..known }
+    RegisteredRunner { runner: "i-1".to_string(), started_at: Some(started_at), ..known }
 }
 
 fn lists(clock: u64) -> RunnerLists {
@@ -49,7 +49,7 @@
 
 fn linked(now: Instant) -> NodeState {
     let mut state = NodeState::new(now);
-    state.on_beat(runner("i-1", 1));
+    state.on_heartbeat(runner("i-1", 1));
     state.admit(STAMP).unwrap();
     state
 }
@@ -162,18 +162,18 @@
 fn a_heartbeat_that_was_held_up_does_not_replace_the_present_life() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-0", 9));
+    state.on_heartbeat(runner("i-0", 9));
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
-    assert_eq!(state.on_beat(runner("i-0", 10)), BeatEffect::Dropped);
+    assert_eq!(state.on_heartbeat(runner("i-0", 10)), HeartbeatEffect::Dropped);
 }
 
 #[test]
 fn a_new_life_takes_over_when_it_answers_in_place_of_the_known_one() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-2", 1));
+    state.on_heartbeat(runner("i-2", 1));
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.target().unwrap().instance, "i-2");
     assert_eq!(state.report(now).former, ["i-1"]);
@@ -187,7 +187,7 @@
     state.on_lists(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
     state.next_hold(Duration::ZERO, now);
-    state.on_beat(runner("i-2", 1));
+    state.on_heartbeat(runner("i-2", 1));
     assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
     assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
     assert_eq!(state.target().unwrap().instance, "i-2");
@@ -309,7 +309,7 @@
     let mut state = linked(now);
     state.on_earlier_lives(vec!["i-1".to_string(), "i-2".to_string()]);
     state.on_leave("i-1", now);
-    state.on_beat(runner("i-2", 1));
+    state.on_heartbeat(runner("i-2", 1));
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
     assert_eq!(state.report(now).former, ["i-1"]);
@@ -354,7 +354,7 @@
     let mut state = linked(now);
     let mut leaving = runner("i-1", 2);
     leaving.status.draining = true;
-    state.on_beat(leaving);
+    state.on_heartbeat(leaving);
     assert!(state.on_crash("i-1", now));
     assert!(state.report(now).crashes.is_empty());
 }
@@ -378,11 +378,11 @@
     for start in [300, 100] {
         let now = Instant::now();
         let mut state = NodeState::new(now);
-        state.on_beat(life(200, 40));
+        state.on_heartbeat(life(200, 40));
         state.admit(STAMP).unwrap();
         assert!(state.on_crash("i-1@200", now));
-        assert_eq!(state.on_beat(life(200, 41)), BeatEffect::Dropped);
-        assert_eq!(state.on_beat(life(start, 1)), BeatEffect::News);
+        assert_eq!(state.on_heartbeat(life(200, 41)), HeartbeatEffect::Dropped);
+        assert_eq!(state.on_heartbeat(life(start, 1)), HeartbeatEffect::Changed);
         let report = state.report(now);
         assert_eq!(report.runner.unwrap().instance, format!("i-1@{start}"));
         assert_eq!(report.former, ["i-1@200"]);
@@ -394,7 +394,7 @@
 fn a_leave_that_a_former_life_sent_ends_nothing_while_the_present_one_answers() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     assert!(!state.on_leave("i-1", now));
     let (number, _) = state.next_hold(Duration::ZERO, now);
@@ -409,7 +409,7 @@
 fn a_runner_that_ends_as_it_said_has_not_broken_off() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.on_leave("i-1", now);
     assert!(state.on_crash("i-1@200", now));
     assert!(state.report(now).crashes.is_empty());
@@ -421,7 +421,7 @@
     let now = Instant::now();
     let mut state = NodeState::new(now);
     state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
@@ -433,7 +433,7 @@
 fn starts_that_the_next_life_may_carry_out_are_told_until_it_shows_what_it_runs() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let (shown, silent) = (key("a.0.0.0"), key("a.0.0.1"));
     lease(&mut state, now);
@@ -445,7 +445,7 @@
     answer(&mut state, &silent, silence(), now);
     state.on_crash("i-1@200", now);
     assert_eq!(state.report(now).unsettled, std::slice::from_ref(&silent));
-    state.on_beat(life(300, 1));
+    state.on_heartbeat(life(300, 1));
     assert_eq!(
         state.report(now).unsettled,
         std::slice::from_ref(&silent),
@@ -465,7 +465,7 @@
 fn an_agent_that_stood_still_waits_for_the_next_life_all_the_same() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     lease(&mut state, now);
     let silent = key("a.0.0.0");
@@ -483,7 +483,7 @@
 fn a_look_after_one_that_failed_changes_nothing_at_the_runner() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let end = EndedRun {
         number: 4,
@@ -512,7 +512,7 @@
 #[test]
 fn a_token_of_a_life_that_started_later_is_overtaken_and_one_of_a_later_planner_is_not() {
     let mut state = NodeState::new(Instant::now());
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let later_life = fencing_token(STAMP.epoch, Some(2_000_000), 0);
     let later_planner = fencing_token(STAMP.epoch + 1, Some(0), 0);
@@ -529,7 +529,7 @@
 fn a_late_heartbeat_and_a_lost_answer_do_not_end_a_living_runner() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-0", 9));
+    state.on_heartbeat(runner("i-0", 9));
     assert!(!state.on_no_answer(false, now));
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
@@ -544,7 +544,7 @@
     let now = Instant::now();
     let mut state = linked(now);
     let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_beat(runner("i-2", 1));
+    state.on_heartbeat(runner("i-2", 1));
     state.on_lists(number, lists(0), now);
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.target().unwrap().instance, "i-2");
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -46,11 +46,11 @@
                     self.on_no_answer(agent, target, order, is_broken);
                 }
             }
-            _ => self.on_beat(agent),
+            _ => self.on_heartbeat(agent),
         }
     }
 
-    fn on_beat(&mut self, agent: usize) {
+    fn on_heartbeat(&mut self, agent: usize) {
         let (instance, runner) = (self.agents[agent].life.name.clone(), self.told_id(agent));
         let started_at = self.has_same_ids.then_some(self.agents[agent].lives * START_DISTANCE);
         let one = &mut self.agents[agent];
@@ -67,7 +67,13 @@
             draining: false,
         };
         let address = "127.0.0.1:1".to_string();
-        one.state.on_beat(KnownRunner { runner, status, address, sequence: one.beats, started_at });
+        one.state.on_heartbeat(RegisteredRunner {
+            runner,
+            status,
+            address,
+            sequence: one.beats,
+            started_at,
+        });
         self.at(500, Event::Beat { agent });
     }
 
--- a/tests/refused_looks.rs
+++ b/tests/refused_looks.rs
@@ -26,8 +26,8 @@
 use tokio::time::timeout;
 
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
+use crate::linked_agent::registered_runner;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 1, link: 1 };
 /// The only lease that the runner gets.
@@ -91,7 +91,7 @@
 async fn is_told_as_over(is_silent: bool) -> bool {
     let runner = Arc::new(UnwellRunner { is_silent, ..UnwellRunner::default() });
     let shared = Arc::new(NodeShared::new(runner.clone()));
-    shared.state().on_beat(known_runner(4_000, 4_000, 1));
+    shared.state().on_heartbeat(registered_runner(4_000, 4_000, 1));
     shared.state().admit(STAMP).unwrap();
     shared.state().on_sync(&lease_call(STAMP, LEASE));
     spawn_watcher(shared.clone());
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -10,18 +10,18 @@
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::external::runner_control::RunnerError;
 use greengagearch::ids::StartMillis;
-use greengagearch::process::node::known_runner::KnownRunner;
 use greengagearch::process::node::pending_start::StartStep;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::worker_board::RunKey;
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
 use crate::linked_agent::look_at;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 use crate::linked_agent::start_order;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
@@ -36,12 +36,12 @@
     start_order(plain_traits(TASK, ROOM), is_repeat)
 }
 
-fn runner(millicores: u64, sequence: u64, started_at: Option<StartMillis>) -> KnownRunner {
-    KnownRunner { started_at, ..known_runner(millicores, 1_000, sequence) }
+fn runner(millicores: u64, sequence: u64, started_at: Option<StartMillis>) -> RegisteredRunner {
+    RegisteredRunner { started_at, ..registered_runner(millicores, 1_000, sequence) }
 }
 
 /// The next life of the runner, under the same id.
-fn next_life(started_at: StartMillis) -> KnownRunner {
+fn next_life(started_at: StartMillis) -> RegisteredRunner {
     let mut next = runner(1_000, 1, Some(started_at));
     next.status.instance = "i-1@next".to_string();
     next
@@ -55,7 +55,7 @@
 /// An agent with a runner, a planner and a lease.
 fn linked(started_at: Option<StartMillis>, now: Instant) -> NodeState {
     let mut state = NodeState::new(now);
-    state.on_beat(runner(1_000, 1, started_at));
+    state.on_heartbeat(runner(1_000, 1, started_at));
     state.admit(STAMP).unwrap();
     look(&mut state, now);
     state.report(now);
@@ -129,7 +129,7 @@
 fn an_order_that_comes_again_is_not_sent_beyond_the_capacity() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    state.on_beat(runner(300, 2, None));
+    state.on_heartbeat(runner(300, 2, None));
     state.begin_start(&order(true), now);
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
@@ -150,7 +150,7 @@
     let awaited = state.awaited_target().unwrap().fence;
     assert!(awaited > late, "called with {awaited}, and a late start has {late}");
 
-    state.on_beat(next_life(264));
+    state.on_heartbeat(next_life(264));
     let next = state.target().unwrap().fence;
     assert!(next > late, "called with {next}, and a late start has {late}");
 }
@@ -163,7 +163,7 @@
     let late = state.target().unwrap().fence;
     assert!(state.on_crash("i-1", now));
     // It began earlier by a clock that was put back by 32 ms.
-    state.on_beat(next_life(232));
+    state.on_heartbeat(next_life(232));
     let mut next = state.target().unwrap().fence;
     while next < late {
         state.on_fenced();
@@ -212,7 +212,7 @@
     let before = state.target().unwrap();
     state.begin_stop(&key());
     assert!(state.on_crash("i-1", now));
-    state.on_beat(next_life(264));
+    state.on_heartbeat(next_life(264));
     assert!(state.begin_stop(&key()));
     state.on_stop_answer(&before, &key(), &Ok(()));
     let target = state.target().unwrap();
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -25,8 +25,8 @@
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
-use greengagearch::process::node::known_runner::KnownRunner;
 use greengagearch::process::node::orders::take_orders;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::shared::NodeShared;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::spec::RoomAmount;
@@ -35,10 +35,10 @@
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
 use crate::linked_agent::look_at;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 use crate::linked_agent::start_order;
 
 /// Pause between two looks, and the longest wait for what has to come.
@@ -83,8 +83,8 @@
     }
 }
 
-fn runner(millicores: u64, sequence: u64) -> KnownRunner {
-    known_runner(millicores, 4_000, sequence)
+fn runner(millicores: u64, sequence: u64) -> RegisteredRunner {
+    registered_runner(millicores, 4_000, sequence)
 }
 
 fn traits(task: &str, millicores: u64) -> TaskTraits {
@@ -106,7 +106,7 @@
 fn linked(control: Arc<UnguardedRunner>, now: Instant) -> Arc<NodeShared> {
     let shared = Arc::new(NodeShared::new(control));
     let mut state = shared.state();
-    state.on_beat(runner(4_000, 1));
+    state.on_heartbeat(runner(4_000, 1));
     state.admit(STAMP).unwrap();
     state.traits.insert("a.0.0.0".parse().unwrap(), traits("a.0.0.0", 2_000));
     look(&mut state, now);
@@ -145,7 +145,7 @@
     }
 
     // The next start was decided before this heartbeat.
-    shared.state().on_beat(runner(2_500, 2));
+    shared.state().on_heartbeat(runner(2_500, 2));
     take_orders(&shared, start(2, "c.0.0.0", 1_000));
     let refused = timeout(LIMIT, next_refusal(&shared)).await.expect("a refusal");
     assert_eq!(refused.reason, RejectReason::Room);
