--- a/src/platform/runner_registry.rs
+++ b/src/platform/runner_registry.rs
@@ -24,7 +24,7 @@
     /// Takes a heartbeat.
     fn on_heartbeat(&self, runner: RegisteredRunner);
     /// Takes note that a runner says that it ends. Which of its lives says so is not told, and it may have said so long ago.
-    fn on_leave(&self, runner: &str);
+    fn on_deregister(&self, runner: &str);
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -100,6 +100,6 @@
     State(registry): State<SharedRegistry>,
     Path(runner): Path<RunnerId>,
 ) -> StatusCode {
-    registry.on_leave(&runner);
+    registry.on_deregister(&runner);
     StatusCode::OK
 }
--- a/src/process/node/runner_lives.rs
+++ b/src/process/node/runner_lives.rs
@@ -99,7 +99,7 @@
 
     /// Takes note that a runner says that it ends, when `newest` was the newest look. Says whether its present life is surely the one
     /// that said so: where runners come back under their ids it may be a former one, and the next look tells.
-    pub fn on_leave(&mut self, runner: &str, newest: LookNumber) -> bool {
+    pub fn on_deregister(&mut self, runner: &str, newest: LookNumber) -> bool {
         let Some(known) = self.present.as_ref().filter(|known| known.runner == runner) else {
             return false;
         };
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -98,9 +98,9 @@
         }
     }
 
-    fn on_leave(&self, runner: &str) {
+    fn on_deregister(&self, runner: &str) {
         log_event(log::Level::Info, "runner_left", &[("runner", &runner)]);
-        if self.state().on_leave(runner, clock::now()) {
+        if self.state().on_deregister(runner, clock::now()) {
             self.news.notify_one();
             self.life_changed.notify_one();
         }
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -177,8 +177,8 @@
     }
 
     /// Takes note that a runner says that it ends. Says whether its present life is over.
-    pub fn on_leave(&mut self, runner: &str, now: Instant) -> bool {
-        let has_left = self.lives.on_leave(runner, self.book.newest_look());
+    pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
+        let has_left = self.lives.on_deregister(runner, self.book.newest_look());
         if has_left {
             self.end_life(now);
         }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -308,7 +308,7 @@
     let now = Instant::now();
     let mut state = linked(now);
     state.on_earlier_lives(vec!["i-1".to_string(), "i-2".to_string()]);
-    state.on_leave("i-1", now);
+    state.on_deregister("i-1", now);
     state.on_heartbeat(runner("i-2", 1));
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
@@ -396,7 +396,7 @@
     let mut state = NodeState::new(now);
     state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
-    assert!(!state.on_leave("i-1", now));
+    assert!(!state.on_deregister("i-1", now));
     let (number, _) = state.next_hold(Duration::ZERO, now);
     state.on_lists(number, lists(0), now);
     assert_eq!(state.present_life().map(String::as_str), Some("i-1@200"));
@@ -410,7 +410,7 @@
     let now = Instant::now();
     let mut state = NodeState::new(now);
     state.on_heartbeat(life(200, 1));
-    state.on_leave("i-1", now);
+    state.on_deregister("i-1", now);
     assert!(state.on_crash("i-1@200", now));
     assert!(state.report(now).crashes.is_empty());
 }
