--- a/src/external/runner_control.rs
+++ b/src/external/runner_control.rs
@@ -33,7 +33,7 @@
 
 /// What a look at a runner shows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunnerLists {
+pub struct PollResponse {
     /// Time of the runner's clock.
     pub clock: RunnerMillis,
     /// What it runs.
@@ -44,7 +44,7 @@
 
 /// How a look is taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RunnerHold {
+pub struct PollRequest {
     /// Up to when everything on the runner may run; nothing to leave leases as they are.
     pub lease_end: Option<RunnerMillis>,
     /// Number of the last end that may be forgotten.
@@ -126,9 +126,9 @@
     /// # Errors
     ///
     /// See [`RunnerError`].
-    async fn hold(
+    async fn poll(
         &self,
         target: &RunnerTarget,
-        hold: RunnerHold,
-    ) -> Result<RunnerLists, RunnerError>;
+        request: PollRequest,
+    ) -> Result<PollResponse, RunnerError>;
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -42,8 +42,8 @@
 pub type InstanceId = String;
 /// When a runner started, as Unix time in milliseconds by the clock of its host.
 pub type StartMillis = u64;
-/// Number of a look at a runner, rising in the order in which looks are sent.
-pub type LookNumber = u64;
+/// Number of a poll of a runner; rises in the order in which polls are sent.
+pub type PollNumber = u64;
 /// Number of a start of a task; it only rises, and fences earlier starts.
 pub type RunNumber = u32;
 /// Epoch of the planner's ownership; each takeover raises it by one.
--- a/src/platform/runner_client.rs
+++ b/src/platform/runner_client.rs
@@ -13,10 +13,10 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::RejectReason;
 use crate::connection::node_protocol::StartOrder;
+use crate::external::runner_control::PollRequest;
+use crate::external::runner_control::PollResponse;
 use crate::external::runner_control::RunnerControl;
 use crate::external::runner_control::RunnerError;
-use crate::external::runner_control::RunnerHold;
-use crate::external::runner_control::RunnerLists;
 use crate::external::runner_control::RunnerMillis;
 use crate::external::runner_control::RunnerTarget;
 use crate::ids::FencingToken;
@@ -206,16 +206,20 @@
         self.call(target, "pace", &body, ORDER_LIMIT).await.map(|_: WireDone| ())
     }
 
-    async fn hold(
+    async fn poll(
         &self,
         target: &RunnerTarget,
-        hold: RunnerHold,
-    ) -> Result<RunnerLists, RunnerError> {
-        let wait_ms = u64::try_from(hold.wait.as_millis()).unwrap_or(0);
-        let body =
-            WireHold { lease_end: hold.lease_end, fence: target.fence, seen: hold.seen, wait_ms };
-        let lists: WireLists = self.call(target, "hold", &body, hold.wait + HOLD_SLACK).await?;
-        Ok(RunnerLists {
+        request: PollRequest,
+    ) -> Result<PollResponse, RunnerError> {
+        let wait_ms = u64::try_from(request.wait.as_millis()).unwrap_or(0);
+        let body = WireHold {
+            lease_end: request.lease_end,
+            fence: target.fence,
+            seen: request.seen,
+            wait_ms,
+        };
+        let lists: WireLists = self.call(target, "hold", &body, request.wait + HOLD_SLACK).await?;
+        Ok(PollResponse {
             clock: lists.clock,
             running: lists.running.into_iter().map(decode_running).collect::<Result<_, _>>()?,
             ended: lists.ended.into_iter().map(decode_ended).collect::<Result<_, _>>()?,
--- a/src/process/entry/worker_desk.rs
+++ b/src/process/entry/worker_desk.rs
@@ -77,7 +77,7 @@
     shared: Arc<EntryShared>,
     plan: RecoveryPlan,
     started: Instant,
-    next_look: Instant,
+    next_poll_number: Instant,
     listed_at: Option<Instant>,
     workers: BTreeSet<WorkerId>,
 }
@@ -90,7 +90,7 @@
             shared,
             plan: RecoveryPlan::default(),
             started: now,
-            next_look: now,
+            next_poll_number: now,
             listed_at: None,
             workers: BTreeSet::new(),
         }
@@ -105,11 +105,11 @@
         let timing = self.shared.view().map().timing;
         let limit = timing.agent_beat() * BEATS_TO_RECOVER;
         // An entry that has just started has heard of nobody yet.
-        let is_early = clock::elapsed(self.started) < limit || now < self.next_look;
+        let is_early = clock::elapsed(self.started) < limit || now < self.next_poll_number;
         if is_early || !self.shared.view().may_take_workers(now) {
             return Ok(BTreeSet::new());
         }
-        self.next_look = now + timing.agent_beat() / 2;
+        self.next_poll_number = now + timing.agent_beat() / 2;
         self.list_workers(now).await?;
         let mut jobs = BTreeSet::new();
         for worker in self.workers.clone() {
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -14,11 +14,11 @@
 pub mod run_start;
 pub mod runner_lease;
 pub mod runner_lives;
+pub mod runner_poller;
 pub mod runner_targets;
 pub mod shared;
 pub mod state;
 pub mod unsettled_starts;
-pub mod watcher;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -87,7 +87,7 @@
             serve_metrics(address, shared.metrics.clone()).await?;
         }
         rpc::spawn_node_rpc(internal, shared.clone());
-        watcher::spawn_watcher(shared.clone());
+        runner_poller::spawn_runner_poller(shared.clone());
         let reached_at = settings.internal_advertise.unwrap_or(addresses.internal).to_string();
         LifeKeeper::spawn(shared.clone(), store.clone(), &reached_at);
         let router = runner_registry::router(shared);
--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_book.rs
@@ -9,7 +9,7 @@
 use crate::connection::node_protocol::RejectedRun;
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerMillis;
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 use crate::process::node::pending_start::PendingStart;
 use crate::process::node::pending_start::StartConditions;
 use crate::process::node::pending_start::StartStep;
@@ -30,7 +30,7 @@
 /// What was ordered on one life of the runner.
 #[derive(Debug, Default)]
 pub struct OrderBook {
-    looks: LookNumber,
+    looks: PollNumber,
     starts: HashMap<RunKey, PendingStart>,
     stops: HashMap<RunKey, RunStop>,
     /// Refused starts that a look sent after the refusal has not shown.
@@ -43,9 +43,9 @@
     /// Numbers the next look.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().next_look(), 1);
+    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().next_poll_number(), 1);
     /// ```
-    pub fn next_look(&mut self) -> LookNumber {
+    pub fn next_poll_number(&mut self) -> PollNumber {
         self.looks += 1;
         self.looks
     }
@@ -53,9 +53,9 @@
     /// Number of the newest look.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().newest_look(), 0);
+    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().newest_poll(), 0);
     /// ```
-    pub fn newest_look(&self) -> LookNumber {
+    pub fn newest_poll(&self) -> PollNumber {
         self.looks
     }
 
@@ -276,7 +276,7 @@
     /// use greengagearch::process::node::order_book::OrderBook;
     ///
     /// let mut book = OrderBook::default();
-    /// let look = book.next_look();
+    /// let look = book.next_poll_number();
     /// book.begin_start(&("a.0.0.0".parse().unwrap(), 1), false, Instant::now());
     /// let mut present = Vec::new();
     /// book.complete(look, &mut present, &[]);
@@ -284,7 +284,7 @@
     /// ```
     pub fn complete(
         &mut self,
-        look: LookNumber,
+        look: PollNumber,
         present: &mut Vec<PresentRun>,
         ended: &[EndedRun],
     ) {
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -6,7 +6,7 @@
 use crate::connection::node_protocol::RejectReason;
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerMillis;
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 use crate::process::node::run_start::ClosedStart;
 use crate::process::node::run_start::DoubtfulStart;
 use crate::process::node::run_start::IdleStart;
@@ -70,7 +70,7 @@
     }
 
     /// A start that was refused before, when it was ordered for the first time.
-    pub(super) fn refused(reason: RejectReason, newest: LookNumber, now: Instant) -> PendingStart {
+    pub(super) fn refused(reason: RejectReason, newest: PollNumber, now: Instant) -> PendingStart {
         let start = RunStart::Closed(IdleStart.close(newest, Some(reason)));
         PendingStart { arrived: now, retry_at: now, start }
     }
@@ -84,14 +84,14 @@
     }
 
     /// Gives it up for a stop, unless a try of it may be carried out.
-    pub(super) fn withdraw(&mut self, newest: LookNumber) {
+    pub(super) fn withdraw(&mut self, newest: PollNumber) {
         if let RunStart::Idle(idle) = self.start {
             self.start = RunStart::Closed(idle.close(newest, None));
         }
     }
 
     /// Takes note that no try of it begins from now on.
-    pub(super) fn rule_out(&mut self, newest: LookNumber) {
+    pub(super) fn rule_out(&mut self, newest: PollNumber) {
         self.start = RunStart::Closed(self.start.rule_out(newest));
     }
 
@@ -99,7 +99,7 @@
     pub(super) fn next_step(
         &mut self,
         conditions: &StartConditions,
-        newest: LookNumber,
+        newest: PollNumber,
         now: Instant,
     ) -> StartStep {
         match self.start {
@@ -195,7 +195,7 @@
     pub(super) fn on_answer(
         &mut self,
         answer: &Result<(), RunnerError>,
-        newest: LookNumber,
+        newest: PollNumber,
         now: Instant,
     ) {
         let RunStart::Sent(sent) = self.start else {
@@ -212,7 +212,7 @@
 fn after_answer(
     sent: SentStart,
     answer: &Result<(), RunnerError>,
-    newest: LookNumber,
+    newest: PollNumber,
     now: Instant,
 ) -> RunStart {
     match answer {
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -70,7 +70,7 @@
             return;
         }
         self.book.on_start_answer(key, answer, now);
-        let newest = self.book.newest_look();
+        let newest = self.book.newest_poll();
         match answer {
             Ok(()) => {
                 self.begun.on_begun(key);
--- a/src/process/node/run_start.rs
+++ b/src/process/node/run_start.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use crate::connection::node_protocol::RejectReason;
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 
 /// A refusal of a try, while an earlier one has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedStart {
     /// The newest look when this became known.
-    pub newest: LookNumber,
+    pub newest: PollNumber,
     /// Why the run was refused, if those looks do not show it.
     pub refusal: Option<RejectReason>,
 }
@@ -79,7 +79,7 @@
     ///
     /// assert_eq!(IdleStart.close(3, None).newest, 3);
     /// ```
-    pub fn close(self, newest: LookNumber, refusal: Option<RejectReason>) -> ClosedStart {
+    pub fn close(self, newest: PollNumber, refusal: Option<RejectReason>) -> ClosedStart {
         ClosedStart { newest, refusal }
     }
 }
@@ -92,7 +92,7 @@
     ///
     /// assert_eq!(IdleStart.send().close(3, None).refusal, None);
     /// ```
-    pub fn close(self, newest: LookNumber, refusal: Option<RejectReason>) -> ClosedStart {
+    pub fn close(self, newest: PollNumber, refusal: Option<RejectReason>) -> ClosedStart {
         ClosedStart { newest, refusal }
     }
 
@@ -111,7 +111,7 @@
     /// let repeated = IdleStart.send().lose().send();
     /// assert_matches!(repeated.refuse(reason, 3, now), RunStart::Doubtful(_));
     /// ```
-    pub fn refuse(self, reason: RejectReason, newest: LookNumber, now: Instant) -> RunStart {
+    pub fn refuse(self, reason: RejectReason, newest: PollNumber, now: Instant) -> RunStart {
         let Some(doubtful) = self.before else {
             return RunStart::Closed(self.close(newest, Some(reason)));
         };
@@ -180,7 +180,7 @@
     ///
     /// assert_eq!(RunStart::Idle(IdleStart).rule_out(3).refusal, None);
     /// ```
-    pub fn rule_out(self, newest: LookNumber) -> ClosedStart {
+    pub fn rule_out(self, newest: PollNumber) -> ClosedStart {
         match self {
             RunStart::Closed(closed) => closed,
             RunStart::Doubtful(doubtful) => ClosedStart { newest, refusal: doubtful.given_up },
--- a/src/process/node/runner_lives.rs
+++ b/src/process/node/runner_lives.rs
@@ -9,7 +9,7 @@
 use crate::connection::node_protocol::RunnerCrash;
 use crate::connection::node_protocol::YoungRun;
 use crate::ids::InstanceId;
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 use crate::process::node::registered_runner::HeartbeatEffect;
 use crate::process::node::registered_runner::RegisteredRunner;
 
@@ -25,7 +25,7 @@
 pub struct RunnerLives {
     present: Option<RegisteredRunner>,
     /// Another life that has registered, and the newest look then.
-    candidate: Option<(LookNumber, RegisteredRunner)>,
+    candidate: Option<(PollNumber, RegisteredRunner)>,
     former: VecDeque<InstanceId>,
     /// Lives that earlier agents here have stored; over, but for the present one, when that one answers.
     earlier: Vec<InstanceId>,
@@ -34,7 +34,7 @@
     /// Lives that broke off, and when that was noticed.
     crashes: Vec<(Instant, RunnerCrash)>,
     /// The newest look when the runner said that it ends, until a later one shows that its present life goes on.
-    left_at: Option<LookNumber>,
+    left_at: Option<PollNumber>,
 }
 
 impl RunnerLives {
@@ -69,7 +69,7 @@
     pub fn on_heartbeat(
         &mut self,
         runner: RegisteredRunner,
-        newest: LookNumber,
+        newest: PollNumber,
     ) -> HeartbeatEffect {
         let instance = &runner.status.instance;
         if self.former.contains(instance) {
@@ -99,7 +99,7 @@
 
     /// Takes note that a runner says that it ends, when `newest` was the newest look. Says whether its present life is surely the one
     /// that said so: where runners come back under their ids it may be a former one, and the next look tells.
-    pub fn on_deregister(&mut self, runner: &str, newest: LookNumber) -> bool {
+    pub fn on_deregister(&mut self, runner: &str, newest: PollNumber) -> bool {
         let Some(known) = self.present.as_ref().filter(|known| known.runner == runner) else {
             return false;
         };
@@ -110,7 +110,7 @@
     }
 
     /// Takes note that the present life has answered a look. Says whether that ends others which the planner may not know to be over.
-    pub fn on_answer(&mut self, number: LookNumber) -> bool {
+    pub fn on_answer(&mut self, number: PollNumber) -> bool {
         self.left_at.take_if(|left_at| number > *left_at);
         if let Some((_, stale)) = self.candidate.take_if(|(newest, _)| number > *newest) {
             // The known life has answered a look that was sent after this one's heartbeat came.
--- a/src/process/node/watcher.rs
+++ b/src/process/node/runner_poller.rs
@@ -6,8 +6,8 @@
 use log::Level;
 
 use crate::connection::node_protocol::young_text;
+use crate::external::runner_control::PollRequest;
 use crate::external::runner_control::RunnerError;
-use crate::external::runner_control::RunnerHold;
 use crate::external::runner_control::RunnerTarget;
 use crate::process::clock;
 use crate::process::logging::log_event;
@@ -21,7 +21,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 /// Starts looking.
-pub fn spawn_watcher(shared: Arc<NodeShared>) {
+pub fn spawn_runner_poller(shared: Arc<NodeShared>) {
     // An agent before may have paced what runs.
     shared.state().pace = PaceControl::inheriting();
     tokio::spawn(async move {
@@ -64,7 +64,7 @@
 }
 
 async fn call_next_life(shared: &NodeShared, target: &RunnerTarget) {
-    let answer = shared.control.hold(target, RunnerHold::default()).await.map(|_| ());
+    let answer = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
     shared.state().on_awaited_answer(&answer, clock::now());
     tokio::time::sleep(RETRY_PAUSE).await;
 }
@@ -84,7 +84,7 @@
             false
         }
         RunnerError::Rejected { .. } => {
-            if state.on_refused_look(now) {
+            if state.on_rejected_poll(now) {
                 log_event(Level::Warn, "leases_expired", &[("instance", &target.instance)]);
             }
             false
@@ -115,9 +115,9 @@
         let mut state = shared.state();
         // Without a lease on record the first look only reads the runner's clock.
         let wait = if state.lease_end().is_some() { LOOK_WAIT } else { Duration::ZERO };
-        state.next_hold(wait, clock::now())
+        state.next_poll(wait, clock::now())
     };
-    let lists = shared.control.hold(target, hold).await?;
+    let lists = shared.control.poll(target, hold).await?;
     let (steps, long_over) = {
         let mut state = shared.state();
         if !state.is_target(target) {
@@ -128,7 +128,7 @@
             let state = &mut *state;
             state.pace.look(&lists.running, &state.traits, now)
         };
-        if state.on_lists(number, lists, now) {
+        if state.on_poll_response(number, lists, now) {
             shared.news.notify_one();
         }
         (steps, state.pace.take_long_over())
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -13,12 +13,12 @@
 use crate::connection::node_protocol::RunnerLook;
 use crate::connection::node_protocol::SyncCall;
 use crate::connection::node_protocol::TaskTraits;
-use crate::external::runner_control::RunnerHold;
-use crate::external::runner_control::RunnerLists;
+use crate::external::runner_control::PollRequest;
+use crate::external::runner_control::PollResponse;
 use crate::external::runner_control::RunnerMillis;
 use crate::ids::FencingToken;
 use crate::ids::InstanceId;
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 use crate::process::node::begun_runs::BegunRuns;
 use crate::process::node::order_book::OrderBook;
 use crate::process::node::order_book::has_ended;
@@ -140,7 +140,7 @@
 
     /// Takes a heartbeat of the runner.
     pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
-        let effect = self.lives.on_heartbeat(runner, self.book.newest_look());
+        let effect = self.lives.on_heartbeat(runner, self.book.newest_poll());
         self.has_news |= effect == HeartbeatEffect::Changed;
         effect
     }
@@ -162,7 +162,7 @@
 
     /// Takes note that the present life refuses a look: it is there, and its leases are not extended. Once those that it has have surely
     /// expired, it runs nothing until it takes another one. Says whether that is new.
-    pub fn on_refused_look(&mut self, now: Instant) -> bool {
+    pub fn on_rejected_poll(&mut self, now: Instant) -> bool {
         let is_new = !self.is_idle && self.lease.have_all_expired(now);
         if is_new {
             self.is_idle = true;
@@ -170,7 +170,7 @@
             self.book.on_expiry();
         }
         if self.is_idle {
-            let number = self.book.next_look();
+            let number = self.book.next_poll_number();
             self.show(number, Vec::new(), Vec::new());
         }
         is_new
@@ -178,7 +178,7 @@
 
     /// Takes note that a runner says that it ends. Says whether its present life is over.
     pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
-        let has_left = self.lives.on_deregister(runner, self.book.newest_look());
+        let has_left = self.lives.on_deregister(runner, self.book.newest_poll());
         if has_left {
             self.end_life(now);
         }
@@ -270,10 +270,10 @@
     }
 
     /// How the next look is to be taken, and its number.
-    pub fn next_hold(&mut self, wait: Duration, now: Instant) -> (LookNumber, RunnerHold) {
+    pub fn next_poll(&mut self, wait: Duration, now: Instant) -> (PollNumber, PollRequest) {
         if self.may_be_other_life(now) {
-            let hold = RunnerHold { lease_end: None, seen: 0, wait: Duration::ZERO };
-            return (self.book.next_look(), hold);
+            let hold = PollRequest { lease_end: None, seen: 0, wait: Duration::ZERO };
+            return (self.book.next_poll_number(), hold);
         }
         // A life that does not answer is not kept alive by calls that may be carried out late.
         let lease_end = self.lease.end().filter(|_| !self.lease.is_silent(now));
@@ -284,7 +284,7 @@
         // same numbers.
         let is_listed = self.first_listed.is_some_and(|first| first <= self.seen);
         let seen = if is_listed { self.seen } else { 0 };
-        (self.book.next_look(), RunnerHold { lease_end, seen, wait })
+        (self.book.next_poll_number(), PollRequest { lease_end, seen, wait })
     }
 
     /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
@@ -295,7 +295,12 @@
     }
 
     /// Takes in a look that was sent under a number and answered now. Says whether it brings news.
-    pub fn on_lists(&mut self, number: LookNumber, lists: RunnerLists, now: Instant) -> bool {
+    pub fn on_poll_response(
+        &mut self,
+        number: PollNumber,
+        lists: PollResponse,
+        now: Instant,
+    ) -> bool {
         self.lease.on_answer(lists.clock, now);
         self.is_proven = true;
         self.is_idle = false;
@@ -314,7 +319,7 @@
     }
 
     /// Makes a look out of what runs and what has ended, for the planner's next call.
-    fn show(&mut self, number: LookNumber, mut present: Vec<PresentRun>, ended: Vec<EndedRun>) {
+    fn show(&mut self, number: PollNumber, mut present: Vec<PresentRun>, ended: Vec<EndedRun>) {
         self.book.complete(number, &mut present, &ended);
         self.present = present.iter().map(|run| (run.task.clone(), run.run)).collect();
         self.traits.retain(|task, _| present.iter().any(|run| run.task == *task));
@@ -354,6 +359,6 @@
 }
 
 /// Whether a runner shows a run, at work or as an end that was not acknowledged.
-fn is_shown(lists: &RunnerLists, key: &RunKey) -> bool {
+fn is_shown(lists: &PollResponse, key: &RunKey) -> bool {
     is_among(&lists.running, key) || has_ended(&lists.ended, key)
 }
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::ids::LookNumber;
+use crate::ids::PollNumber;
 use crate::workflow::worker_board::RunKey;
 
 /// Time for which a start that has no answer may still be carried out.
@@ -24,7 +24,7 @@
     /// The last try, while it has no answer.
     last: Option<Instant>,
     /// The newest look when an answer came, until the life has answered a later one.
-    answered_at: Option<LookNumber>,
+    answered_at: Option<PollNumber>,
 }
 
 impl SentTries {
@@ -70,7 +70,7 @@
     ///
     /// UnsettledStarts::default().on_answer(&("a.0.0.0".parse().unwrap(), 1), 3);
     /// ```
-    pub fn on_answer(&mut self, key: &RunKey, newest: LookNumber) {
+    pub fn on_answer(&mut self, key: &RunKey, newest: PollNumber) {
         if let Some(start) = self.sent.get_mut(key) {
             start.last = None;
             start.answered_at = Some(newest);
@@ -108,7 +108,7 @@
     /// ```
     pub fn on_look(
         &mut self,
-        number: LookNumber,
+        number: PollNumber,
         is_shown: impl Fn(&RunKey) -> bool,
         now: Instant,
     ) -> bool {
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -15,14 +15,14 @@
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollRequest;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
+use greengagearch::process::node::runner_poller::spawn_runner_poller;
 use greengagearch::process::node::shared::NodeShared;
-use greengagearch::process::node::watcher::spawn_watcher;
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::sleep;
@@ -129,11 +129,11 @@
         Ok(())
     }
 
-    async fn hold(&self, _: &RunnerTarget, _: RunnerHold) -> Result<RunnerLists, RunnerError> {
+    async fn poll(&self, _: &RunnerTarget, _: PollRequest) -> Result<PollResponse, RunnerError> {
         sleep(LOOK).await;
         let tail = *self.0.tail_ms.lock().unwrap();
         let running = vec![run("s.0.0.0", tail), run("f.0.0.0", 1_000)];
-        Ok(RunnerLists { clock: 500, running, ended: Vec::new() })
+        Ok(PollResponse { clock: 500, running, ended: Vec::new() })
     }
 }
 
@@ -158,7 +158,7 @@
     let shared = Arc::new(NodeShared::new(control));
     shared.state().on_heartbeat(registered_runner(4_000, 4_000, 1));
     shared.state().admit(LinkStamp { epoch: 1, link: 1 }).unwrap();
-    spawn_watcher(shared.clone());
+    spawn_runner_poller(shared.clone());
     shared
 }
 
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -6,9 +6,9 @@
 use assert_matches::assert_matches;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollRequest;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::platform::life_name::life_name;
 use greengagearch::platform::runner_client::RunnerClient;
@@ -34,10 +34,13 @@
     let client = RunnerClient::open();
     let first = PlatformRunner::spawn_with_start_time("i-1", nobody, RunJournal::default()).await;
     let before = target(&first);
-    assert_matches!(client.hold(&before, RunnerHold::default()).await, Ok(_));
+    assert_matches!(client.poll(&before, PollRequest::default()).await, Ok(_));
     let second = first.restart(Duration::from_millis(10)).await;
-    assert_matches!(client.hold(&before, RunnerHold::default()).await, Err(RunnerError::OtherLife));
-    assert_matches!(client.hold(&target(&second), RunnerHold::default()).await, Ok(_));
+    assert_matches!(
+        client.poll(&before, PollRequest::default()).await,
+        Err(RunnerError::OtherLife)
+    );
+    assert_matches!(client.poll(&target(&second), PollRequest::default()).await, Ok(_));
 }
 
 fn order() -> StartOrder {
@@ -66,7 +69,7 @@
         assert_matches!(late, Err(RunnerError::NoAnswer { .. }));
         let second = first.restart(Duration::from_millis(40)).await;
         if is_called {
-            client.hold(&target(&second), RunnerHold::default()).await.unwrap();
+            client.poll(&target(&second), PollRequest::default()).await.unwrap();
         }
         tokio::time::sleep(2 * HELD_UP_FOR).await;
         assert_eq!(journal.records().is_empty(), is_called);
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -12,7 +12,7 @@
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::node_protocol::TaskTraits;
-use greengagearch::external::runner_control::RunnerLists;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::spec::RoomAmount;
@@ -71,7 +71,7 @@
 
 /// A look at the runner that shows these runs at `clock`; the planner is not told of it yet.
 pub fn look_at(state: &mut NodeState, running: Vec<PresentRun>, clock: u64, now: Instant) {
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    let lists = RunnerLists { clock, running, ended: Vec::new() };
-    state.on_lists(number, lists, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    let lists = PollResponse { clock, running, ended: Vec::new() };
+    state.on_poll_response(number, lists, now);
 }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -12,8 +12,8 @@
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::process::node::fence::fencing_token;
 use greengagearch::process::node::registered_runner::HeartbeatEffect;
 use greengagearch::process::node::registered_runner::RegisteredRunner;
@@ -43,8 +43,8 @@
     RegisteredRunner { runner: "i-1".to_string(), started_at: Some(started_at), ..known }
 }
 
-fn lists(clock: u64) -> RunnerLists {
-    RunnerLists { clock, running: Vec::new(), ended: Vec::new() }
+fn lists(clock: u64) -> PollResponse {
+    PollResponse { clock, running: Vec::new(), ended: Vec::new() }
 }
 
 fn linked(now: Instant) -> NodeState {
@@ -96,8 +96,8 @@
 /// A look that shows nothing, and a lease of nine seconds from the start of the agent.
 fn lease(state: &mut NodeState, now: Instant) {
     let instance = state.present_life().unwrap().clone();
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     state.report(now);
     state.on_sync(&grant(&instance, 0, 0));
 }
@@ -126,16 +126,16 @@
 fn orders_that_overtake_others_do_not_count_as_seen() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
     state.begin_start(&order(&key("a.0.0.1")), now);
     state.on_orders(1, 2);
-    state.on_lists(number, lists(0), now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).look.unwrap().orders_seen, 0);
 
-    let (number, _) = state.next_hold(Duration::ZERO, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
     state.begin_start(&order(&key("a.0.0.0")), now);
     state.on_orders(0, 1);
-    state.on_lists(number, lists(0), now);
+    state.on_poll_response(number, lists(0), now);
     let look = state.report(now).look.unwrap();
     assert_eq!(look.orders_seen, 2);
     assert_eq!(look.present.len(), 2);
@@ -147,14 +147,14 @@
     let mut state = linked(now);
     lease(&mut state, now);
     let key = key("a.0.0.0");
-    let (early, _) = state.next_hold(Duration::ZERO, now);
+    let (early, _) = state.next_poll(Duration::ZERO, now);
     send(&mut state, &key, now);
     answer(&mut state, &key, Ok(()), now);
-    state.on_lists(early, lists(0), now);
+    state.on_poll_response(early, lists(0), now);
     assert_eq!(state.report(now).look.unwrap().present.len(), 1);
 
-    let (late, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(late, lists(0), now);
+    let (late, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(late, lists(0), now);
     assert!(state.report(now).look.unwrap().present.is_empty());
 }
 
@@ -163,8 +163,8 @@
     let now = Instant::now();
     let mut state = linked(now);
     state.on_heartbeat(runner("i-0", 9));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
     assert_eq!(state.on_heartbeat(runner("i-0", 10)), HeartbeatEffect::Dropped);
 }
@@ -183,10 +183,10 @@
 fn a_new_life_takes_over_when_the_known_one_is_silent_beyond_its_leases() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
-    state.next_hold(Duration::ZERO, now);
+    state.next_poll(Duration::ZERO, now);
     state.on_heartbeat(runner("i-2", 1));
     assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
     assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
@@ -207,8 +207,8 @@
 fn a_grant_that_comes_late_extends_nothing() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
     assert_eq!(state.lease_end(), Some(9_500));
     assert_eq!(state.may_start(now), Some(true));
@@ -219,8 +219,8 @@
 fn a_grant_for_an_earlier_life_extends_nothing() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-0", 0, 7));
     assert_eq!(state.lease_end(), None);
 }
@@ -230,13 +230,13 @@
 fn a_silent_life_is_given_up_when_its_leases_have_surely_expired() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
-    assert!(state.next_hold(Duration::ZERO, now).1.lease_end.is_some());
+    assert!(state.next_poll(Duration::ZERO, now).1.lease_end.is_some());
     let later = now + Duration::from_secs(3);
     state.on_sync(&grant("i-1", 3, 0));
-    assert_eq!(state.next_hold(Duration::ZERO, later).1.lease_end, None);
+    assert_eq!(state.next_poll(Duration::ZERO, later).1.lease_end, None);
     assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
     assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
     assert!(state.target().is_none());
@@ -251,15 +251,15 @@
     lease(&mut state, now);
     let key = key("a.0.0.0");
     send(&mut state, &key, now);
-    let (early, _) = state.next_hold(Duration::ZERO, now);
+    let (early, _) = state.next_poll(Duration::ZERO, now);
     answer(&mut state, &key, Err(RunnerError::Rejected { reason: RejectReason::Old }), now);
-    state.on_lists(early, lists(0), now);
+    state.on_poll_response(early, lists(0), now);
     let look = state.report(now).look.unwrap();
     assert!(look.rejected.is_empty());
     assert_eq!(look.present.len(), 1, "until then the run may be there");
 
-    let (late, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(late, lists(0), now);
+    let (late, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(late, lists(0), now);
     let look = state.report(now).look.unwrap();
     assert_eq!(look.rejected.len(), 1);
     assert!(look.present.is_empty());
@@ -274,16 +274,16 @@
     let (started, stopped) = (key("a.0.0.0"), key("a.0.0.1"));
     state.begin_start(&order(&started), now);
     assert!(state.begin_stop(&stopped));
-    let (before, _) = state.next_hold(Duration::ZERO, now);
+    let (before, _) = state.next_poll(Duration::ZERO, now);
     state.admit(LinkStamp { epoch: STAMP.epoch, link: 2 }).unwrap();
     assert!(!state.begin_stop(&stopped), "a new link of the same planner changes nothing");
 
     state.admit(LinkStamp { epoch: STAMP.epoch + 1, link: 1 }).unwrap();
     assert!(state.begin_stop(&stopped));
-    state.on_lists(before, lists(1), now);
+    state.on_poll_response(before, lists(1), now);
     assert_eq!(present(&mut state, now), 1, "a look from before the change cannot tell");
-    let (after, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(after, lists(2), now);
+    let (after, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(after, lists(2), now);
     assert_eq!(present(&mut state, now), 0);
 }
 
@@ -298,8 +298,8 @@
     let mut state = linked(now);
     state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string()]);
     assert!(state.report(now).former.is_empty(), "a heartbeat alone may be an old one");
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    assert!(state.on_lists(number, lists(0), now), "the planner waits for this");
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    assert!(state.on_poll_response(number, lists(0), now), "the planner waits for this");
     assert_eq!(state.report(now).former, ["i-0"]);
 }
 
@@ -310,8 +310,8 @@
     state.on_earlier_lives(vec!["i-1".to_string(), "i-2".to_string()]);
     state.on_deregister("i-1", now);
     state.on_heartbeat(runner("i-2", 1));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).former, ["i-1"]);
     assert_eq!(state.target().unwrap().instance, "i-2");
 }
@@ -326,8 +326,8 @@
     let (old, answered, unanswered) = (key("a.0.0.0"), key("a.0.0.1"), key("a.0.0.2"));
     send(&mut state, &old, now);
     answer(&mut state, &old, Ok(()), now);
-    let (number, _) = state.next_hold(Duration::ZERO, at(1_800));
-    state.on_lists(number, lists(0), at(1_800));
+    let (number, _) = state.next_poll(Duration::ZERO, at(1_800));
+    state.on_poll_response(number, lists(0), at(1_800));
     send(&mut state, &answered, at(1_900));
     answer(&mut state, &answered, Ok(()), at(1_900));
     send(&mut state, &unanswered, at(1_950));
@@ -397,8 +397,8 @@
     state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     assert!(!state.on_deregister("i-1", now));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.present_life().map(String::as_str), Some("i-1@200"));
     state.on_crash("i-1@200", now);
     assert_eq!(state.report(now).crashes.len(), 1, "it went on, so that this was not its leave");
@@ -423,8 +423,8 @@
     state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
     state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).former, ["i-0", "i-1@100"]);
 }
 
@@ -439,8 +439,8 @@
     lease(&mut state, now);
     send(&mut state, &shown, now);
     answer(&mut state, &shown, Ok(()), now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     send(&mut state, &silent, now);
     answer(&mut state, &silent, silence(), now);
     state.on_crash("i-1@200", now);
@@ -451,12 +451,12 @@
         std::slice::from_ref(&silent),
         "a heartbeat alone shows nothing"
     );
-    let (number, _) = state.next_hold(Duration::ZERO, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
     let begun = PresentRun { is_begun: true, ..PresentRun::ordered(silent.0.clone(), silent.1) };
-    state.on_lists(number, RunnerLists { running: vec![begun], ..lists(0) }, now);
+    state.on_poll_response(number, PollResponse { running: vec![begun], ..lists(0) }, now);
     assert_eq!(state.report(now).unsettled, [silent], "until the planner has seen where it is");
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert!(state.report(now).unsettled.is_empty());
 }
 
@@ -492,18 +492,18 @@
         end: RunEnd::Done,
         checkpoint: String::new(),
     };
-    let ended = || RunnerLists { ended: vec![end.clone()], ..lists(500) };
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, ended(), now);
+    let ended = || PollResponse { ended: vec![end.clone()], ..lists(500) };
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, ended(), now);
     state.on_sync(&grant("i-1@200", 0, 4));
-    let (number, hold) = state.next_hold(Duration::ZERO, now);
+    let (number, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (4, Some(9_500)));
     state.on_no_answer(true, now);
     assert_eq!(state.may_start(now), Some(false));
-    let (_, hold) = state.next_hold(Duration::ZERO, now);
+    let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (0, None));
-    state.on_lists(number, lists(500), now);
-    let (_, hold) = state.next_hold(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
+    let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (0, Some(9_500)), "nothing is left to acknowledge");
 }
 
@@ -531,8 +531,8 @@
     let mut state = linked(now);
     state.on_heartbeat(runner("i-0", 9));
     assert!(!state.on_no_answer(false, now));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
     assert_eq!(state.report(now).former, ["i-0"]);
 }
@@ -543,9 +543,9 @@
 fn an_answer_to_an_earlier_look_does_not_make_a_heartbeat_late() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
     state.on_heartbeat(runner("i-2", 1));
-    state.on_lists(number, lists(0), now);
+    state.on_poll_response(number, lists(0), now);
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.target().unwrap().instance, "i-2");
 }
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -164,7 +164,7 @@
             let order = Order::Hold { number: 0, lease_end: None, seen: 0, wait: 0 };
             return self.at(1, call_of(agent, run, &target, order));
         };
-        let (number, hold) = one.state.next_hold(Duration::from_millis(250), now);
+        let (number, hold) = one.state.next_poll(Duration::from_millis(250), now);
         let wait = hold.wait.as_millis() as u64;
         let order = Order::Hold { number, lease_end: hold.lease_end, seen: hold.seen, wait };
         self.at(1, call_of(agent, run, &target, order));
@@ -275,7 +275,7 @@
             (Order::Hold { number, .. }, answer) => {
                 let pause = match answer {
                     CallAnswer::Lists(Some(lists)) if is_target => {
-                        one.state.on_lists(number, lists, now);
+                        one.state.on_poll_response(number, lists, now);
                         if self.has_same_ids { 1 } else { 250 }
                     }
                     CallAnswer::Lists(None) if is_target => {
@@ -287,7 +287,7 @@
                         60
                     }
                     CallAnswer::Order(RunnerAnswer::Unwell) if is_target => {
-                        one.state.on_refused_look(now);
+                        one.state.on_rejected_poll(now);
                         60
                     }
                     _ => 60,
--- a/tests/planning_world/mod.rs
+++ b/tests/planning_world/mod.rs
@@ -22,8 +22,8 @@
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::connection::node_protocol::SyncCall;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::pending_start::StartStep;
 use greengagearch::process::node::registered_runner::RegisteredRunner;
@@ -255,7 +255,7 @@
 #[derive(Clone, Debug)]
 enum CallAnswer {
     Order(RunnerAnswer),
-    Lists(Option<RunnerLists>),
+    Lists(Option<PollResponse>),
     OtherLife,
     NotRunning,
 }
--- a/tests/planning_world/runner.rs
+++ b/tests/planning_world/runner.rs
@@ -4,7 +4,7 @@
 
 use greengagearch::connection::node_protocol::EndedRun;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::external::runner_control::RunnerLists;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::task_name::TaskName;
 use greengagearch::workflow::worker_board::RunKey;
@@ -270,7 +270,7 @@
         seen: u64,
         now: u64,
         audit: &mut RunAudit,
-    ) -> Option<RunnerLists> {
+    ) -> Option<PollResponse> {
         if self.is_fenced(fence) {
             return None;
         }
@@ -284,13 +284,13 @@
     }
 
     /// What a look shows.
-    pub fn lists(&self, now: u64) -> RunnerLists {
+    pub fn lists(&self, now: u64) -> PollResponse {
         let shown = |key: &RunKey| PresentRun {
             is_begun: true,
             ..PresentRun::ordered(key.0.clone(), key.1)
         };
         let running = self.running.keys().map(shown).collect();
-        RunnerLists { clock: self.clock(now), running, ended: self.ended.clone() }
+        PollResponse { clock: self.clock(now), running, ended: self.ended.clone() }
     }
 
     /// Takes a longer lease, up to the longest that there is.
--- a/tests/refused_looks.rs
+++ b/tests/refused_looks.rs
@@ -12,15 +12,15 @@
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::StartOrder;
+use greengagearch::external::runner_control::PollRequest;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
+use greengagearch::process::node::runner_poller::spawn_runner_poller;
 use greengagearch::process::node::shared::NodeShared;
-use greengagearch::process::node::watcher::spawn_watcher;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -79,10 +79,10 @@
         Ok(())
     }
 
-    async fn hold(&self, _: &RunnerTarget, _: RunnerHold) -> Result<RunnerLists, RunnerError> {
+    async fn poll(&self, _: &RunnerTarget, _: PollRequest) -> Result<PollResponse, RunnerError> {
         sleep(Duration::from_millis(20)).await;
         let running = vec![begun_run("a.0.0.0")];
-        let lists = RunnerLists { clock: 500, running, ended: Vec::new() };
+        let lists = PollResponse { clock: 500, running, ended: Vec::new() };
         self.failure().map_or(Ok(lists), Err)
     }
 }
@@ -94,7 +94,7 @@
     shared.state().on_heartbeat(registered_runner(4_000, 4_000, 1));
     shared.state().admit(STAMP).unwrap();
     shared.state().on_sync(&lease_call(STAMP, LEASE));
-    spawn_watcher(shared.clone());
+    spawn_runner_poller(shared.clone());
     sleep(WELL).await;
     drop(shared.state().report(clock::now()));
     runner.is_unwell.store(true, Ordering::Relaxed);
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -236,7 +236,7 @@
 fn the_lease_that_a_start_carries_counts_before_a_silent_life_is_given_up() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    let (_, hold) = state.next_hold(Duration::ZERO, now);
+    let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!(hold.lease_end, Some(9_000));
     state.on_sync(&lease_call(STAMP, Duration::from_secs(14)));
     state.begin_start(&order(false), now);
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -18,10 +18,10 @@
 use greengagearch::connection::node_protocol::RejectedRun;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollRequest;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    async fn hold(&self, _: &RunnerTarget, _: RunnerHold) -> Result<RunnerLists, RunnerError> {
-        Ok(RunnerLists { clock: 0, running: Vec::new(), ended: Vec::new() })
+    async fn poll(&self, _: &RunnerTarget, _: PollRequest) -> Result<PollResponse, RunnerError> {
+        Ok(PollResponse { clock: 0, running: Vec::new(), ended: Vec::new() })
     }
 }
 
