--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -12,7 +12,7 @@
 use greengagearch::connection::node_protocol::NodeOrder;
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::progress::JobRecord;
@@ -89,10 +89,10 @@
             labels: vec!["a".to_string(), format!("r{}", worker / 8)],
             draining: false,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present: self.present[worker].clone(),
             orders_seen: u64::MAX,
-            ..RunnerLook::default()
+            ..RunnerSnapshot::default()
         };
         NodeReport {
             now: Duration::ZERO,
@@ -100,7 +100,7 @@
             former: vec![],
             unsettled: Vec::new(),
             crashes: vec![],
-            look: Some(look),
+            snapshot: Some(look),
         }
     }
 
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -188,7 +188,7 @@
 
 /// What the agent saw when it last looked at its runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunnerLook {
+pub struct RunnerSnapshot {
     /// All runs that the runner has or may still take.
     pub present: Vec<PresentRun>,
     /// Ends that are not stored yet.
@@ -199,13 +199,13 @@
     pub orders_seen: u64,
 }
 
-impl RunnerLook {
+impl RunnerSnapshot {
     /// Whether the runner itself shows a run, at work or as an end.
     ///
     /// ```
-    /// use greengagearch::connection::node_protocol::RunnerLook;
+    /// use greengagearch::connection::node_protocol::RunnerSnapshot;
     ///
-    /// assert!(!RunnerLook::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
+    /// assert!(!RunnerSnapshot::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
     /// ```
     pub fn shows(&self, key: &RunKey) -> bool {
         let is_begun = |run: &PresentRun| run.is_begun && run.task == key.0 && run.run == key.1;
@@ -274,7 +274,7 @@
     /// Of the former lives, those that broke off of late.
     pub crashes: Vec<RunnerCrash>,
     /// The newest look; nothing when the runner did not answer lately.
-    pub look: Option<RunnerLook>,
+    pub snapshot: Option<RunnerSnapshot>,
 }
 
 /// What a task that fills adds to the load of tasks of one image that serve.
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -10,7 +10,7 @@
 use crate::connection::node_protocol::NodeReport;
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::RunnerCrash;
-use crate::connection::node_protocol::RunnerLook;
+use crate::connection::node_protocol::RunnerSnapshot;
 use crate::connection::node_protocol::SyncCall;
 use crate::connection::node_protocol::TaskTraits;
 use crate::external::runner_control::PollRequest;
@@ -57,7 +57,7 @@
     /// Number of the first end that the runner still lists.
     first_listed: Option<u64>,
     orders: OrderSequence,
-    fresh_look: Option<RunnerLook>,
+    fresh_snapshot: Option<RunnerSnapshot>,
     /// What the newest look showed, with starts on their way.
     pub(super) present: BTreeSet<RunKey>,
     reported_ends: u64,
@@ -96,7 +96,7 @@
             seen: 0,
             first_listed: None,
             orders: OrderSequence::default(),
-            fresh_look: None,
+            fresh_snapshot: None,
             present: BTreeSet::new(),
             reported_ends: 0,
             has_news: false,
@@ -122,7 +122,7 @@
             self.stamp = stamp;
             self.orders = OrderSequence::default();
             self.reported_ends = 0;
-            self.fresh_look = None;
+            self.fresh_snapshot = None;
             self.has_news = true;
         }
         Ok(is_new)
@@ -220,7 +220,7 @@
         self.is_idle = false;
         self.fence_raise = 0;
         self.silent_since = None;
-        self.fresh_look = None;
+        self.fresh_snapshot = None;
         self.present.clear();
         self.reported_ends = 0;
         self.pace = PaceControl::default();
@@ -327,18 +327,18 @@
         let last = ended.last().map_or(0, |ended| ended.number);
         self.has_news |= last > self.reported_ends || self.book.has_refusals();
         let (rejected, orders_seen) = (Vec::new(), self.orders.seen());
-        self.fresh_look = Some(RunnerLook { present, ended, rejected, orders_seen });
+        self.fresh_snapshot = Some(RunnerSnapshot { present, ended, rejected, orders_seen });
     }
 
     /// Whether the planner should hear of something at once.
     pub fn has_news(&self) -> bool {
         // Without a runner there is no look to wait for, and what ran on it waits to start elsewhere.
-        self.has_news && (self.fresh_look.is_some() || self.lives.present().is_none())
+        self.has_news && (self.fresh_snapshot.is_some() || self.lives.present().is_none())
     }
 
     /// What the planner is told: the newest look, once.
     pub fn report(&mut self, now: Instant) -> NodeReport {
-        let mut look = self.fresh_look.take();
+        let mut look = self.fresh_snapshot.take();
         if let Some(look) = &mut look {
             look.rejected = self.book.take_refusals();
             let last = look.ended.last().map_or(0, |ended| ended.number);
@@ -353,7 +353,7 @@
             former: self.lives.former(),
             unsettled: self.unsettled.keys(),
             crashes: self.lives.crashes(now),
-            look,
+            snapshot: look,
         }
     }
 }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -12,7 +12,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::RejectReason;
 use crate::connection::node_protocol::RejectedRun;
-use crate::connection::node_protocol::RunnerLook;
+use crate::connection::node_protocol::RunnerSnapshot;
 use crate::connection::node_protocol::RunnerStatus;
 use crate::connection::node_protocol::StartOrder;
 use crate::connection::node_protocol::TaskTraits;
@@ -46,7 +46,7 @@
 }
 
 /// For each refusal of a look, whether the look shows the run all the same.
-fn refusals_shown(look: &RunnerLook) -> Vec<bool> {
+fn refusals_shown(look: &RunnerSnapshot) -> Vec<bool> {
     let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
     runs.map(|key| look.shows(&key)).collect()
 }
@@ -93,7 +93,7 @@
     ///     former: vec![],
     ///     unsettled: vec![],
     ///     crashes: vec![],
-    ///     look: None,
+    ///     snapshot: None,
     /// };
     /// planner.on_report(report, true);
     /// ```
@@ -113,7 +113,7 @@
         for (task, worker) in given_up {
             self.give_up(task, worker);
         }
-        if let (Some(status), Some(look)) = (report.runner, report.look) {
+        if let (Some(status), Some(look)) = (report.runner, report.snapshot) {
             self.on_look(&status.instance, look);
         }
     }
@@ -131,7 +131,7 @@
 
     /// Takes runs that were given to former lives and that the present life shows for its own: it has carried out their starts.
     fn adopt(&mut self, report: &NodeReport, instance: &str) {
-        let Some(look) = &report.look else {
+        let Some(look) = &report.snapshot else {
             return;
         };
         for former in &report.former {
@@ -142,7 +142,7 @@
     }
 
     /// Runs that were given to a life and that a look shows.
-    fn runs_shown(&self, life: &str, look: &RunnerLook) -> Vec<RunKey> {
+    fn runs_shown(&self, life: &str, look: &RunnerSnapshot) -> Vec<RunKey> {
         let runs = self.board.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
         runs.filter(|key| look.shows(key)).cloned().collect()
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    fn on_look(&mut self, instance: &str, look: RunnerLook) {
+    fn on_look(&mut self, instance: &str, look: RunnerSnapshot) {
         let shown = refusals_shown(&look);
         self.on_ends(instance, look.ended);
         for (rejected, shown) in look.rejected.iter().zip(shown) {
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -9,7 +9,7 @@
 use greengagearch::connection::node_protocol::EndedRun;
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
@@ -270,7 +270,7 @@
             labels: LABELS.map(str::to_string).to_vec(),
             draining: false,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present,
             ended: std::mem::take(&mut self.ended),
             rejected: Vec::new(),
@@ -282,7 +282,7 @@
             former: Vec::new(),
             unsettled: Vec::new(),
             crashes: Vec::new(),
-            look: Some(look),
+            snapshot: Some(look),
         })
     }
 }
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -9,7 +9,7 @@
 use greengagearch::connection::node_protocol::LinkStamp;
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::RejectReason;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::external::runner_control::RunnerError;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::pending_start::StartStep;
@@ -86,9 +86,9 @@
     }
 
     /// A look that shows these runs, and what the planner is told of it.
-    fn look(&mut self, running: Vec<PresentRun>) -> RunnerLook {
+    fn look(&mut self, running: Vec<PresentRun>) -> RunnerSnapshot {
         look_at(&mut self.state, running, 0, self.now);
-        self.state.report(self.now).look.unwrap()
+        self.state.report(self.now).snapshot.unwrap()
     }
 }
 
--- a/tests/node_link.rs
+++ b/tests/node_link.rs
@@ -56,7 +56,7 @@
             former: Vec::new(),
             unsettled: Vec::new(),
             crashes: Vec::new(),
-            look: None,
+            snapshot: None,
         })
     }
 
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -130,13 +130,13 @@
     state.begin_start(&order(&key("a.0.0.1")), now);
     state.on_orders(1, 2);
     state.on_poll_response(number, lists(0), now);
-    assert_eq!(state.report(now).look.unwrap().orders_seen, 0);
+    assert_eq!(state.report(now).snapshot.unwrap().orders_seen, 0);
 
     let (number, _) = state.next_poll(Duration::ZERO, now);
     state.begin_start(&order(&key("a.0.0.0")), now);
     state.on_orders(0, 1);
     state.on_poll_response(number, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    let look = state.report(now).snapshot.unwrap();
     assert_eq!(look.orders_seen, 2);
     assert_eq!(look.present.len(), 2);
 }
@@ -151,11 +151,11 @@
     send(&mut state, &key, now);
     answer(&mut state, &key, Ok(()), now);
     state.on_poll_response(early, lists(0), now);
-    assert_eq!(state.report(now).look.unwrap().present.len(), 1);
+    assert_eq!(state.report(now).snapshot.unwrap().present.len(), 1);
 
     let (late, _) = state.next_poll(Duration::ZERO, now);
     state.on_poll_response(late, lists(0), now);
-    assert!(state.report(now).look.unwrap().present.is_empty());
+    assert!(state.report(now).snapshot.unwrap().present.is_empty());
 }
 
 #[test]
@@ -254,13 +254,13 @@
     let (early, _) = state.next_poll(Duration::ZERO, now);
     answer(&mut state, &key, Err(RunnerError::Rejected { reason: RejectReason::Old }), now);
     state.on_poll_response(early, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    let look = state.report(now).snapshot.unwrap();
     assert!(look.rejected.is_empty());
     assert_eq!(look.present.len(), 1, "until then the run may be there");
 
     let (late, _) = state.next_poll(Duration::ZERO, now);
     state.on_poll_response(late, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    let look = state.report(now).snapshot.unwrap();
     assert_eq!(look.rejected.len(), 1);
     assert!(look.present.is_empty());
 }
@@ -288,7 +288,7 @@
 }
 
 fn present(state: &mut NodeState, now: Instant) -> usize {
-    state.report(now).look.map_or(0, |look| look.present.len())
+    state.report(now).snapshot.map_or(0, |look| look.present.len())
 }
 
 /// After a loss of power agent and runner are new, and only the store knows what the host ran before.
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -72,7 +72,7 @@
     let mut report = fleet.report_of("i-1");
     report.former = vec!["i-1".to_string()];
     report.runner.as_mut().unwrap().instance = "i-2".to_string();
-    report.look = None;
+    report.snapshot = None;
     fleet.planner.on_report(report, false);
     fleet.runners.clear();
     let next = PlayedRunner { orders_seen: seen, ..PlayedRunner::default() };
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -13,7 +13,7 @@
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::RejectedRun;
 use greengagearch::connection::node_protocol::RunnerCrash;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::planner_batch::PlanWrite;
@@ -116,7 +116,7 @@
             labels: runner.labels.clone(),
             draining: runner.draining,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present: runner.present.values().cloned().collect(),
             ended: runner.ended.clone(),
             rejected: runner.rejected.clone(),
@@ -128,7 +128,7 @@
             former: vec![],
             unsettled: Vec::new(),
             crashes: vec![],
-            look: Some(look),
+            snapshot: Some(look),
         }
     }
 
@@ -238,7 +238,7 @@
             former: vec![crash.instance.clone()],
             unsettled: Vec::new(),
             crashes: vec![crash],
-            look: None,
+            snapshot: None,
         };
         self.planner.set_time(self.now(), self.wall_ms);
         self.planner.on_report(report, false);
--- a/tests/planning_world/events.rs
+++ b/tests/planning_world/events.rs
@@ -194,7 +194,8 @@
         process.links[agent].is_new &= report.runner.is_none();
         process.planner.set_time(now, WALL + self.now);
         let instance = report.runner.as_ref().map(|runner| runner.instance.clone());
-        let ends = report.look.as_ref().and_then(|look| look.ended.last()).map(|end| end.number);
+        let ends =
+            report.snapshot.as_ref().and_then(|look| look.ended.last()).map(|end| end.number);
         let since = report.now;
         process.planner.on_report(report, is_new);
         let mut call = SyncCall {
--- a/tests/refused_looks.rs
+++ b/tests/refused_looks.rs
@@ -109,7 +109,7 @@
 /// Whether a report says that nothing runs on the life.
 fn tells_nothing(report: &NodeReport) -> bool {
     let is_former = report.former.iter().any(|life| life == "i-1");
-    is_former || report.look.as_ref().is_some_and(|look| look.present.is_empty())
+    is_former || report.snapshot.as_ref().is_some_and(|look| look.present.is_empty())
 }
 
 /// The baseline: what ran on a silent runner is told as over when its leases have surely expired.
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -87,7 +87,7 @@
     state.begin_start(&order(true), now);
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
-    let told = state.report(now).look.unwrap();
+    let told = state.report(now).snapshot.unwrap();
     let is_given_up = !told.rejected.is_empty() && !told.shows(&key());
     let is_tried = matches!(step, StartStep::Send);
     assert!(!(is_given_up && is_tried), "told as {:?}, and {step:?}", told.rejected);
@@ -186,10 +186,10 @@
     state.on_stop_answer(&target, &key(), &Ok(()));
 
     look_at(&mut state, vec![begun_run(TASK)], 0, now);
-    let told = state.report(now).look.unwrap();
+    let told = state.report(now).snapshot.unwrap();
     assert_eq!((told.present.len(), told.rejected.len()), (1, 0));
     look(&mut state, now);
-    let told = state.report(now).look.unwrap();
+    let told = state.report(now).snapshot.unwrap();
     assert_eq!((told.present.len(), told.rejected.len()), (0, 0), "its end tells the rest");
 }
 
@@ -255,6 +255,6 @@
     try_start(&mut state, Err(RunnerError::NotRunning), now);
     try_start(&mut state, Err(RunnerError::Rejected { reason: RejectReason::Unwell }), now);
     look(&mut state, now);
-    let told = state.report(now).look.unwrap();
+    let told = state.report(now).snapshot.unwrap();
     assert_eq!((told.present.len(), told.rejected.len()), (1, 0));
 }
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -126,7 +126,7 @@
             let now = clock::now();
             let mut state = shared.state();
             look(&mut state, now);
-            let told = state.report(now).look.unwrap();
+            let told = state.report(now).snapshot.unwrap();
             if let Some(refused) = told.rejected.into_iter().next() {
                 return refused;
             }
--- a/tests/unknown_lease.rs
+++ b/tests/unknown_lease.rs
@@ -26,7 +26,7 @@
         former: former.iter().map(ToString::to_string).collect(),
         unsettled: Vec::new(),
         crashes: Vec::new(),
-        look: None,
+        snapshot: None,
     }
 }
 
