--- a/src/process/node/life_keeper.rs
+++ b/src/process/node/life_keeper.rs
@@ -54,7 +54,7 @@
             "lives_read",
             &[("lives", &self.lives.len()), ("newest", &newest), ("version", &self.version)],
         );
-        self.shared.state().on_earlier_lives(self.lives.clone());
+        self.shared.state().on_earlier_instances(self.lives.clone());
         loop {
             self.shared.life_changed.notified().await;
             while let Some(life) = self.new_life() {
@@ -79,7 +79,7 @@
     }
 
     fn new_life(&self) -> Option<InstanceId> {
-        self.shared.state().present_life().filter(|life| !self.lives.contains(life)).cloned()
+        self.shared.state().current_instance().filter(|life| !self.lives.contains(life)).cloned()
     }
 
     async fn add(&mut self, life: InstanceId) {
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -32,7 +32,7 @@
         room: &RoomAmount,
         now: Instant,
     ) -> StartStep {
-        if !self.is_target(target) {
+        if !self.is_current_target(target) {
             return StartStep::Over(None);
         }
         let conditions = self.start_conditions(key, room, now);
@@ -47,7 +47,7 @@
         room: &RoomAmount,
         now: Instant,
     ) -> Option<RunnerMillis> {
-        if !self.is_target(target) {
+        if !self.is_current_target(target) {
             return None;
         }
         let conditions = self.start_conditions(key, room, now);
@@ -66,7 +66,7 @@
         answer: &Result<(), RunnerError>,
         now: Instant,
     ) {
-        if !self.is_target(target) {
+        if !self.is_current_target(target) {
             return;
         }
         self.book.on_start_answer(key, answer, now);
@@ -97,7 +97,7 @@
 
     /// Where a stop that was ordered for a target has to be sent, until the runner has taken it; tokens may have been raised since.
     pub fn stop_target(&self, target: &RunnerTarget, key: &RunKey) -> Option<RunnerTarget> {
-        let is_due = self.is_target(target) && self.book.is_stop_due(key);
+        let is_due = self.is_current_target(target) && self.book.is_stop_due(key);
         self.target().filter(|_| is_due)
     }
 
@@ -108,7 +108,7 @@
         key: &RunKey,
         answer: &Result<(), RunnerError>,
     ) {
-        if answer.is_ok() && self.is_target(target) {
+        if answer.is_ok() && self.is_current_target(target) {
             self.book.on_stop_taken(key);
         }
     }
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -53,7 +53,7 @@
 /// Waits for a life of the runner to register. One that may be back under the id of the last is called before that, so that it takes
 /// nothing that was meant for the last one.
 async fn await_life(shared: &NodeShared) {
-    let awaited = shared.state().awaited_target();
+    let awaited = shared.state().successor_target();
     let Some(target) = awaited else {
         return shared.look.notified().await;
     };
@@ -65,14 +65,14 @@
 
 async fn call_next_life(shared: &NodeShared, target: &RunnerTarget) {
     let answer = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
-    shared.state().on_awaited_answer(&answer, clock::now());
+    shared.state().on_successor_response(&answer, clock::now());
     tokio::time::sleep(RETRY_PAUSE).await;
 }
 
 /// Decides what a look that failed says of the runner.
 fn on_error(shared: &NodeShared, target: &RunnerTarget, error: &RunnerError) {
     let mut state = shared.state();
-    if !state.is_target(target) {
+    if !state.is_current_target(target) {
         return;
     }
     let now = clock::now();
@@ -120,7 +120,7 @@
     let lists = shared.control.poll(target, hold).await?;
     let (steps, long_over) = {
         let mut state = shared.state();
-        if !state.is_target(target) {
+        if !state.is_current_target(target) {
             return Ok(());
         }
         let now = clock::now();
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -26,12 +26,12 @@
 
     /// Where the next life of the runner will listen, before it has registered. A call with this token makes it refuse what was meant
     /// for the life before.
-    pub fn awaited_target(&self) -> Option<RunnerTarget> {
+    pub fn successor_target(&self) -> Option<RunnerTarget> {
         self.target_of(self.lives.awaited()?, 0)
     }
 
     /// Takes note of what became of a call for the next life of the runner. One that answers is called until it has registered.
-    pub fn on_awaited_answer(&mut self, answer: &Result<(), RunnerError>, now: Instant) {
+    pub fn on_successor_response(&mut self, answer: &Result<(), RunnerError>, now: Instant) {
         match answer {
             Ok(()) | Err(RunnerError::OtherLife | RunnerError::Fenced) => return,
             Err(RunnerError::Rejected { .. } | RunnerError::NoAnswer { .. }) => {}
@@ -43,7 +43,7 @@
     }
 
     /// Whether a target is still the present one.
-    pub fn is_target(&self, target: &RunnerTarget) -> bool {
+    pub fn is_current_target(&self, target: &RunnerTarget) -> bool {
         self.target().is_some_and(|present| {
             present.instance == target.instance
                 && present.epoch == target.epoch
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -187,7 +187,7 @@
 
     /// Takes note that a life has broken off: nobody listens at its address, or another life does.
     pub fn on_crash(&mut self, instance: &str, now: Instant) -> bool {
-        let is_present = self.present_life().is_some_and(|life| life == instance);
+        let is_present = self.current_instance().is_some_and(|life| life == instance);
         if is_present {
             let crashed = self.silent_since.unwrap_or(now);
             let young = self.begun.young_at(self.lease.answered(), crashed);
@@ -228,12 +228,12 @@
     }
 
     /// The present life of the runner.
-    pub fn present_life(&self) -> Option<&InstanceId> {
+    pub fn current_instance(&self) -> Option<&InstanceId> {
         self.lives.name()
     }
 
     /// Takes in which lives earlier agents on this host have known.
-    pub fn on_earlier_lives(&mut self, lives: Vec<InstanceId>) {
+    pub fn on_earlier_instances(&mut self, lives: Vec<InstanceId>) {
         self.lives.on_earlier(lives);
     }
 
@@ -244,7 +244,7 @@
 
     /// Extends the leases as the planner allows. The span counts from a time that this agent sent.
     pub fn on_sync(&mut self, call: &SyncCall) {
-        if call.instance.is_none() || call.instance.as_ref() != self.present_life() {
+        if call.instance.is_none() || call.instance.as_ref() != self.current_instance() {
             return;
         }
         self.seen = self.seen.max(call.seen);
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -95,7 +95,7 @@
 
 /// A look that shows nothing, and a lease of nine seconds from the start of the agent.
 fn lease(state: &mut NodeState, now: Instant) {
-    let instance = state.present_life().unwrap().clone();
+    let instance = state.current_instance().unwrap().clone();
     let (number, _) = state.next_poll(Duration::ZERO, now);
     state.on_poll_response(number, lists(0), now);
     state.report(now);
@@ -296,7 +296,7 @@
 fn lives_before_the_present_one_are_over_when_that_one_has_answered() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string()]);
+    state.on_earlier_instances(vec!["i-0".to_string(), "i-1".to_string()]);
     assert!(state.report(now).former.is_empty(), "a heartbeat alone may be an old one");
     let (number, _) = state.next_poll(Duration::ZERO, now);
     assert!(state.on_poll_response(number, lists(0), now), "the planner waits for this");
@@ -307,7 +307,7 @@
 fn a_later_life_that_the_store_names_is_not_over_while_an_old_heartbeat_stands_for_the_runner() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_earlier_lives(vec!["i-1".to_string(), "i-2".to_string()]);
+    state.on_earlier_instances(vec!["i-1".to_string(), "i-2".to_string()]);
     state.on_deregister("i-1", now);
     state.on_heartbeat(runner("i-2", 1));
     let (number, _) = state.next_poll(Duration::ZERO, now);
@@ -399,7 +399,7 @@
     assert!(!state.on_deregister("i-1", now));
     let (number, _) = state.next_poll(Duration::ZERO, now);
     state.on_poll_response(number, lists(0), now);
-    assert_eq!(state.present_life().map(String::as_str), Some("i-1@200"));
+    assert_eq!(state.current_instance().map(String::as_str), Some("i-1@200"));
     state.on_crash("i-1@200", now);
     assert_eq!(state.report(now).crashes.len(), 1, "it went on, so that this was not its leave");
 }
@@ -420,7 +420,7 @@
 fn a_life_that_was_stored_by_its_id_alone_may_be_the_present_one() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
+    state.on_earlier_instances(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
     state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let (number, _) = state.next_poll(Duration::ZERO, now);
@@ -473,7 +473,7 @@
     state.on_crash("i-1@200", now);
     let later = now + Duration::from_secs(6);
     assert_eq!(state.report(later).unsettled, [silent]);
-    state.on_awaited_answer(&Err(RunnerError::NotRunning), later);
+    state.on_successor_response(&Err(RunnerError::NotRunning), later);
     assert!(state.report(later).unsettled.is_empty());
 }
 
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -158,7 +158,7 @@
             return;
         }
         let Some(target) = one.state.target() else {
-            let Some(target) = one.state.awaited_target() else {
+            let Some(target) = one.state.successor_target() else {
                 return self.at(50, Event::Look { agent, run });
             };
             let order = Order::Hold { number: 0, lease_end: None, seen: 0, wait: 0 };
@@ -259,7 +259,7 @@
     ) {
         let now = self.agent_instant(agent);
         let one = &mut self.agents[agent];
-        let is_target = one.state.is_target(&target);
+        let is_current_target = one.state.is_current_target(&target);
         match (order, answer) {
             (Order::Hold { number: 0, .. }, answer) => {
                 // Where a life listens, it answers, be it the one that is meant or another.
@@ -268,25 +268,25 @@
                     _ if one.life.is_alive => Err(RunnerError::OtherLife),
                     _ => Err(RunnerError::NotRunning),
                 };
-                one.state.on_awaited_answer(&told, now);
+                one.state.on_successor_response(&told, now);
                 let run = self.agents[agent].run;
                 self.at(60, Event::Look { agent, run });
             }
             (Order::Hold { number, .. }, answer) => {
                 let pause = match answer {
-                    CallAnswer::Lists(Some(lists)) if is_target => {
+                    CallAnswer::Lists(Some(lists)) if is_current_target => {
                         one.state.on_poll_response(number, lists, now);
                         if self.has_same_ids { 1 } else { 250 }
                     }
-                    CallAnswer::Lists(None) if is_target => {
+                    CallAnswer::Lists(None) if is_current_target => {
                         one.state.on_fenced();
                         60
                     }
-                    CallAnswer::OtherLife | CallAnswer::NotRunning if is_target => {
+                    CallAnswer::OtherLife | CallAnswer::NotRunning if is_current_target => {
                         one.state.on_crash(&target.instance, now);
                         60
                     }
-                    CallAnswer::Order(RunnerAnswer::Unwell) if is_target => {
+                    CallAnswer::Order(RunnerAnswer::Unwell) if is_current_target => {
                         one.state.on_rejected_poll(now);
                         60
                     }
@@ -303,10 +303,10 @@
         let now = self.agent_instant(agent);
         let one = &mut self.agents[agent];
         let run = one.run;
-        let is_target = one.state.is_target(&target);
+        let is_current_target = one.state.is_current_target(&target);
         match order {
             Order::Hold { .. } => {
-                if is_target {
+                if is_current_target {
                     one.state.on_no_answer(is_broken, now);
                 }
                 self.at(60, Event::Look { agent, run });
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -104,7 +104,7 @@
     assert_eq!(state.report(now).unsettled, [key()]);
 
     let later = now + Duration::from_secs(60);
-    let is_looked_for = state.awaited_target().is_some();
+    let is_looked_for = state.successor_target().is_some();
     assert!(is_looked_for || state.report(later).unsettled.is_empty());
 }
 
@@ -116,10 +116,10 @@
     state.begin_start(&order(false), now);
     try_start(&mut state, silence(), now);
     assert!(state.on_crash("i-1", now));
-    state.on_awaited_answer(&Ok(()), now);
+    state.on_successor_response(&Ok(()), now);
 
     let later = now + Duration::from_secs(60);
-    let is_looked_for = state.awaited_target().is_some();
+    let is_looked_for = state.successor_target().is_some();
     assert!(is_looked_for || state.report(later).unsettled.is_empty());
 }
 
@@ -147,7 +147,7 @@
     }
     let late = state.target().unwrap().fence;
     assert!(state.on_crash("i-1", now));
-    let awaited = state.awaited_target().unwrap().fence;
+    let awaited = state.successor_target().unwrap().fence;
     assert!(awaited > late, "called with {awaited}, and a late start has {late}");
 
     state.on_heartbeat(next_life(264));
