--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -3,9 +3,9 @@
 pub mod begun_runs;
 pub mod fence;
 pub mod life_keeper;
+pub mod order_attempts;
 pub mod order_book;
 pub mod order_sequence;
-pub mod order_tries;
 pub mod orders;
 pub mod pending_start;
 pub mod registered_runner;
--- a/src/process/node/order_tries.rs
+++ b/src/process/node/order_attempts.rs
@@ -8,61 +8,61 @@
 use crate::process::metrics::ProcessMetrics;
 use crate::workflow::worker_board::RunKey;
 
-/// The first tries of an order are all logged; after them each power of two.
+/// The first attempts of an order are all logged; after them each power of two.
 const FIRST_TRIES: u32 = 3;
 
 /// What is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TriedOrder {
+pub enum OrderKind {
     /// A start.
     Start,
     /// A stop.
     Stop,
 }
 
-impl TriedOrder {
+impl OrderKind {
     fn label(self) -> &'static str {
         match self {
-            TriedOrder::Start => "start",
-            TriedOrder::Stop => "stop",
+            OrderKind::Start => "start",
+            OrderKind::Stop => "stop",
         }
     }
 
     fn event(self) -> &'static str {
         match self {
-            TriedOrder::Start => "start_try",
-            TriedOrder::Stop => "stop_try",
+            OrderKind::Start => "start_try",
+            OrderKind::Stop => "stop_try",
         }
     }
 }
 
-/// The tries of one order so far.
+/// The attempts of one order so far.
 #[derive(Clone, Debug)]
-pub struct OrderTries {
-    order: TriedOrder,
+pub struct OrderAttempts {
+    order: OrderKind,
     key: RunKey,
     epoch: PlannerEpoch,
-    tries: u32,
+    attempts: u32,
     unanswered: u32,
     outcome: String,
 }
 
-impl OrderTries {
+impl OrderAttempts {
     /// An order that has not been tried.
     ///
     /// ```
-    /// use greengagearch::process::node::order_tries::OrderTries;
-    /// use greengagearch::process::node::order_tries::TriedOrder;
+    /// use greengagearch::process::node::order_attempts::OrderAttempts;
+    /// use greengagearch::process::node::order_attempts::OrderKind;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert_eq!(OrderTries::new(TriedOrder::Stop, &key, 7).tries(), 0);
+    /// assert_eq!(OrderAttempts::new(OrderKind::Stop, &key, 7).attempts(), 0);
     /// ```
-    pub fn new(order: TriedOrder, key: &RunKey, epoch: PlannerEpoch) -> OrderTries {
-        OrderTries {
+    pub fn new(order: OrderKind, key: &RunKey, epoch: PlannerEpoch) -> OrderAttempts {
+        OrderAttempts {
             order,
             key: key.clone(),
             epoch,
-            tries: 0,
+            attempts: 0,
             unanswered: 0,
             outcome: "not tried".to_string(),
         }
@@ -72,21 +72,21 @@
     ///
     /// ```
     /// use greengagearch::process::metrics::ProcessMetrics;
-    /// use greengagearch::process::node::order_tries::OrderTries;
-    /// use greengagearch::process::node::order_tries::TriedOrder;
+    /// use greengagearch::process::node::order_attempts::OrderAttempts;
+    /// use greengagearch::process::node::order_attempts::OrderKind;
     ///
     /// let metrics = ProcessMetrics::open();
-    /// let mut tries = OrderTries::new(TriedOrder::Stop, &("a.0.0.0".parse().unwrap(), 1), 7);
-    /// tries.note(&metrics, &Ok(()));
-    /// assert_eq!(tries.outcome(), "done");
+    /// let mut attempts = OrderAttempts::new(OrderKind::Stop, &("a.0.0.0".parse().unwrap(), 1), 7);
+    /// attempts.record(&metrics, &Ok(()));
+    /// assert_eq!(attempts.outcome(), "done");
     /// assert!(metrics.render().contains("gga_order_tries{order=\"stop\",outcome=\"done\"} 1"));
     /// ```
-    pub fn note(&mut self, metrics: &ProcessMetrics, answer: &Result<(), RunnerError>) {
-        self.tries += 1;
+    pub fn record(&mut self, metrics: &ProcessMetrics, answer: &Result<(), RunnerError>) {
+        self.attempts += 1;
         self.outcome = answer.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
         let labels = [self.order.label(), answer_label(answer)];
         metrics.order_tries.with_label_values(&labels).inc();
-        if answer.is_err() && is_logged(self.tries) {
+        if answer.is_err() && is_logged(self.attempts) {
             self.log_try();
         }
         if matches!(answer, Err(RunnerError::NoAnswer { .. })) {
@@ -97,24 +97,24 @@
     /// Tries so far.
     ///
     /// ```
-    /// use greengagearch::process::node::order_tries::OrderTries;
-    /// use greengagearch::process::node::order_tries::TriedOrder;
+    /// use greengagearch::process::node::order_attempts::OrderAttempts;
+    /// use greengagearch::process::node::order_attempts::OrderKind;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert_eq!(OrderTries::new(TriedOrder::Start, &key, 7).tries(), 0);
+    /// assert_eq!(OrderAttempts::new(OrderKind::Start, &key, 7).attempts(), 0);
     /// ```
-    pub fn tries(&self) -> u32 {
-        self.tries
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     /// Tries so far that had no answer, each of which may have been carried out.
     ///
     /// ```
-    /// use greengagearch::process::node::order_tries::OrderTries;
-    /// use greengagearch::process::node::order_tries::TriedOrder;
+    /// use greengagearch::process::node::order_attempts::OrderAttempts;
+    /// use greengagearch::process::node::order_attempts::OrderKind;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert_eq!(OrderTries::new(TriedOrder::Start, &key, 7).unanswered(), 0);
+    /// assert_eq!(OrderAttempts::new(OrderKind::Start, &key, 7).unanswered(), 0);
     /// ```
     pub fn unanswered(&self) -> u32 {
         self.unanswered
@@ -123,11 +123,11 @@
     /// Outcome of the last try.
     ///
     /// ```
-    /// use greengagearch::process::node::order_tries::OrderTries;
-    /// use greengagearch::process::node::order_tries::TriedOrder;
+    /// use greengagearch::process::node::order_attempts::OrderAttempts;
+    /// use greengagearch::process::node::order_attempts::OrderKind;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert_eq!(OrderTries::new(TriedOrder::Start, &key, 7).outcome(), "not tried");
+    /// assert_eq!(OrderAttempts::new(OrderKind::Start, &key, 7).outcome(), "not tried");
     /// ```
     pub fn outcome(&self) -> &str {
         &self.outcome
@@ -141,7 +141,7 @@
                 ("task", &self.key.0),
                 ("run", &self.key.1),
                 ("epoch", &self.epoch),
-                ("try", &self.tries),
+                ("try", &self.attempts),
                 ("outcome", &self.outcome),
                 ("unanswered", &self.unanswered),
             ],
--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_book.rs
@@ -137,9 +137,9 @@
     /// let mut book = OrderBook::default();
     /// book.begin_start(&key, false, now);
     /// book.begin_stop(&key);
-    /// assert_eq!(book.begin_try(&key, &conditions, now), None);
+    /// assert_eq!(book.begin_attempt(&key, &conditions, now), None);
     /// ```
-    pub fn begin_try(
+    pub fn begin_attempt(
         &mut self,
         key: &RunKey,
         conditions: &StartConditions,
@@ -148,7 +148,7 @@
         if self.stops.contains_key(key) {
             return None;
         }
-        self.starts.get_mut(key)?.begin_try(conditions, now)
+        self.starts.get_mut(key)?.begin_attempt(conditions, now)
     }
 
     /// Takes note of what became of a try.
--- a/src/process/node/orders.rs
+++ b/src/process/node/orders.rs
@@ -11,8 +11,8 @@
 use crate::external::runner_control::RunnerTarget;
 use crate::process::clock;
 use crate::process::logging::log_event;
-use crate::process::node::order_tries::OrderTries;
-use crate::process::node::order_tries::TriedOrder;
+use crate::process::node::order_attempts::OrderAttempts;
+use crate::process::node::order_attempts::OrderKind;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::shared::NodeShared;
 use crate::workflow::worker_board::RunKey;
@@ -43,9 +43,9 @@
         return;
     }
     let key = (order.traits.task.clone(), order.run);
-    let tries = OrderTries::new(TriedOrder::Start, &key, target.epoch);
+    let attempts = OrderAttempts::new(OrderKind::Start, &key, target.epoch);
     let (shared, target) = (shared.clone(), target.clone());
-    tokio::spawn(StartSender { shared, target, order, key, tries }.run());
+    tokio::spawn(StartSender { shared, target, order, key, attempts }.run());
 }
 
 fn take_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
@@ -60,7 +60,7 @@
     target: RunnerTarget,
     order: StartOrder,
     key: RunKey,
-    tries: OrderTries,
+    attempts: OrderAttempts,
 }
 
 impl StartSender {
@@ -95,14 +95,14 @@
         let slot = shared.order_slots.acquire().await;
         let lease_end = {
             let mut state = shared.state();
-            state.begin_try(&self.target, &self.key, &self.order.traits.room, clock::now())
+            state.begin_attempt(&self.target, &self.key, &self.order.traits.room, clock::now())
         };
         let Some(lease_end) = lease_end else {
             return;
         };
         let answer = shared.control.start(&self.target, &self.order, lease_end).await;
         drop(slot);
-        self.tries.note(&shared.metrics, &answer);
+        self.attempts.record(&shared.metrics, &answer);
         shared.state().on_start_answer(&self.target, &self.key, &answer, clock::now());
     }
 
@@ -116,8 +116,8 @@
                 ("epoch", &self.target.epoch),
                 ("instance", &self.target.instance),
                 ("outcome", &outcome),
-                ("tries", &self.tries.tries()),
-                ("unanswered", &self.tries.unanswered()),
+                ("tries", &self.attempts.attempts()),
+                ("unanswered", &self.attempts.unanswered()),
             ],
         );
     }
@@ -127,13 +127,13 @@
 fn spawn_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
     let (shared, target) = (shared.clone(), target.clone());
     tokio::spawn(async move {
-        let mut tries = OrderTries::new(TriedOrder::Stop, &key, target.epoch);
+        let mut attempts = OrderAttempts::new(OrderKind::Stop, &key, target.epoch);
         let mut pause = STOP_PAUSE;
-        while try_stop(&shared, &target, &key, &mut tries).await {
+        while try_stop(&shared, &target, &key, &mut attempts).await {
             tokio::time::sleep(pause).await;
             pause = LONGEST_STOP_PAUSE.min(pause * 2);
         }
-        log_stop(&target, &key, &tries);
+        log_stop(&target, &key, &attempts);
     });
 }
 
@@ -142,7 +142,7 @@
     shared: &NodeShared,
     target: &RunnerTarget,
     key: &RunKey,
-    tries: &mut OrderTries,
+    attempts: &mut OrderAttempts,
 ) -> bool {
     let slot = shared.order_slots.acquire().await;
     let due = shared.state().stop_target(target, key);
@@ -151,12 +151,12 @@
     };
     let answer = shared.control.stop(&due, &key.0, key.1).await;
     drop(slot);
-    tries.note(&shared.metrics, &answer);
+    attempts.record(&shared.metrics, &answer);
     shared.state().on_stop_answer(target, key, &answer);
     answer.is_err()
 }
 
-fn log_stop(target: &RunnerTarget, key: &RunKey, tries: &OrderTries) {
+fn log_stop(target: &RunnerTarget, key: &RunKey, attempts: &OrderAttempts) {
     log_event(
         Level::Info,
         "task_stop",
@@ -164,8 +164,8 @@
             ("task", &key.0),
             ("run", &key.1),
             ("epoch", &target.epoch),
-            ("outcome", &tries.outcome()),
-            ("tries", &tries.tries()),
+            ("outcome", &attempts.outcome()),
+            ("tries", &attempts.attempts()),
         ],
     );
 }
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes note that a try leaves, if that is still what has to be done. Gives the lease that it carries.
-    pub(super) fn begin_try(
+    pub(super) fn begin_attempt(
         &mut self,
         conditions: &StartConditions,
         now: Instant,
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes note that a start leaves, as its turn has come and it is still to be sent. Gives the lease that it carries.
-    pub fn begin_try(
+    pub fn begin_attempt(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
@@ -51,7 +51,7 @@
             return None;
         }
         let conditions = self.start_conditions(key, room, now);
-        let lease_end = self.book.begin_try(key, &conditions, now)?;
+        let lease_end = self.book.begin_attempt(key, &conditions, now)?;
         self.lease.on_sent();
         self.begun.on_sending(key, now);
         self.unsettled.on_sending(key, now);
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -70,7 +70,7 @@
     /// Sends a try, which is answered so.
     fn try_start(&mut self, answer: Result<(), RunnerError>) {
         let target = self.target();
-        let sent = self.state.begin_try(&target, &self.key, &ROOM, self.now);
+        let sent = self.state.begin_attempt(&target, &self.key, &ROOM, self.now);
         assert!(sent.is_some(), "nothing speaks against the start");
         self.state.on_start_answer(&target, &self.key, &answer, self.now);
     }
@@ -185,7 +185,7 @@
     agent.state.begin_stop(&key);
     agent.try_stop(Ok(()));
     let target = agent.target();
-    assert_eq!(agent.state.begin_try(&target, &key, &ROOM, agent.now), None);
+    assert_eq!(agent.state.begin_attempt(&target, &key, &ROOM, agent.now), None);
     assert_eq!(agent.next_step(), StartStep::Over(None));
 }
 
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -106,7 +106,7 @@
 fn send(state: &mut NodeState, key: &RunKey, now: Instant) {
     state.begin_start(&order(key), now);
     let target = state.target().unwrap();
-    let sent = state.begin_try(&target, key, &RoomAmount::default(), now);
+    let sent = state.begin_attempt(&target, key, &RoomAmount::default(), now);
     assert!(sent.is_some(), "nothing speaks against the start");
 }
 
--- a/tests/order_tries.rs
+++ b/tests/order_tries.rs
@@ -5,8 +5,8 @@
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::external::runner_control::RunnerError;
 use greengagearch::process::metrics::ProcessMetrics;
-use greengagearch::process::node::order_tries::OrderTries;
-use greengagearch::process::node::order_tries::TriedOrder;
+use greengagearch::process::node::order_attempts::OrderAttempts;
+use greengagearch::process::node::order_attempts::OrderKind;
 use log::LevelFilter;
 use log::Log;
 use log::Metadata;
@@ -34,11 +34,11 @@
     lines.iter().filter(|line| line.contains(task)).cloned().collect()
 }
 
-fn tries_of(order: TriedOrder, task: &str) -> OrderTries {
+fn tries_of(order: OrderKind, task: &str) -> OrderAttempts {
     // The first test of the process sets the logger; the others find it set.
     let _ = log::set_logger(&KeptLog);
     log::set_max_level(LevelFilter::Info);
-    OrderTries::new(order, &(task.parse().unwrap(), 3), 7)
+    OrderAttempts::new(order, &(task.parse().unwrap(), 3), 7)
 }
 
 fn silence() -> Result<(), RunnerError> {
@@ -52,37 +52,37 @@
 #[test]
 fn a_refusal_tells_how_many_tries_before_it_had_no_answer() {
     let metrics = ProcessMetrics::open();
-    let mut tries = tries_of(TriedOrder::Start, "a.0.0.0");
-    tries.note(&metrics, &silence());
-    tries.note(&metrics, &refusal());
+    let mut tries = tries_of(OrderKind::Start, "a.0.0.0");
+    tries.record(&metrics, &silence());
+    tries.record(&metrics, &refusal());
     let lines = lines_of("task=a.0.0.0");
     assert_eq!(lines.len(), 2);
     assert!(lines[0].contains("event=start_try task=a.0.0.0 run=3 epoch=7 try=1 "), "{lines:?}");
     assert!(lines[0].ends_with("outcome=\"no answer: late\" unanswered=0"), "{lines:?}");
     assert!(lines[1].ends_with("try=2 outcome=\"refused: Unwell\" unanswered=1"), "{lines:?}");
-    assert_eq!((tries.tries(), tries.unanswered()), (2, 1));
+    assert_eq!((tries.attempts(), tries.unanswered()), (2, 1));
     assert_eq!(tries.outcome(), "refused: Unwell");
 }
 
 #[test]
 fn an_order_that_stays_without_an_answer_fills_no_log() {
     let metrics = ProcessMetrics::open();
-    let mut tries = tries_of(TriedOrder::Stop, "b.0.0.0");
-    (0..1_000).for_each(|_| tries.note(&metrics, &silence()));
+    let mut tries = tries_of(OrderKind::Stop, "b.0.0.0");
+    (0..1_000).for_each(|_| tries.record(&metrics, &silence()));
     let lines = lines_of("task=b.0.0.0");
     let numbers = [1, 2, 3, 4, 8, 16, 32, 64, 128, 256, 512];
     assert_eq!(lines.len(), numbers.len());
     for (line, number) in lines.iter().zip(numbers) {
         assert!(line.contains(&format!("event=stop_try task=b.0.0.0 run=3 epoch=7 try={number} ")));
     }
-    assert_eq!(tries.tries(), 1_000);
+    assert_eq!(tries.attempts(), 1_000);
 }
 
 #[test]
 fn a_try_that_succeeds_is_counted_and_not_logged() {
     let metrics = ProcessMetrics::open();
-    let mut tries = tries_of(TriedOrder::Start, "c.0.0.0");
-    tries.note(&metrics, &Ok(()));
+    let mut tries = tries_of(OrderKind::Start, "c.0.0.0");
+    tries.record(&metrics, &Ok(()));
     assert!(lines_of("task=c.0.0.0").is_empty());
     assert_eq!(tries.outcome(), "done");
 }
@@ -90,10 +90,10 @@
 #[test]
 fn tries_are_counted_by_order_and_outcome() {
     let metrics = ProcessMetrics::open();
-    let mut start = tries_of(TriedOrder::Start, "d.0.0.0");
+    let mut start = tries_of(OrderKind::Start, "d.0.0.0");
     let answers = [silence(), silence(), refusal(), Err(RunnerError::OtherLife), Ok(())];
-    answers.iter().for_each(|answer| start.note(&metrics, answer));
-    tries_of(TriedOrder::Stop, "d.0.0.0").note(&metrics, &refusal());
+    answers.iter().for_each(|answer| start.record(&metrics, answer));
+    tries_of(OrderKind::Stop, "d.0.0.0").record(&metrics, &refusal());
     let text = metrics.render();
     for (labels, count) in [
         ("order=\"start\",outcome=\"no_answer\"", 2),
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -69,7 +69,7 @@
         }
         match queued {
             QueuedOrder::Start(tried) => {
-                match one.state.begin_try(&target, &tried.key, &tried.room, now) {
+                match one.state.begin_attempt(&target, &tried.key, &tried.room, now) {
                     Some(lease_end) => {
                         let order = Order::Start { tried, lease_end };
                         self.at(0, call_of(agent, run, &target, order));
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -70,7 +70,7 @@
 /// A try to start leaves and is answered so.
 fn try_start(state: &mut NodeState, answer: Result<(), RunnerError>, now: Instant) {
     let target = state.target().unwrap();
-    assert!(state.begin_try(&target, &key(), &ROOM, now).is_some());
+    assert!(state.begin_attempt(&target, &key(), &ROOM, now).is_some());
     state.on_start_answer(&target, &key(), &answer, now);
 }
 
@@ -227,7 +227,7 @@
     state.begin_start(&order(false), now);
     state.begin_stop(&key());
     let target = state.target().unwrap();
-    assert_eq!(state.begin_try(&target, &key(), &ROOM, now), None);
+    assert_eq!(state.begin_attempt(&target, &key(), &ROOM, now), None);
 }
 
 /// Guards against a task that runs twice: a life is given up when the lease that an earlier look carried has expired, and a start has
