--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_book.rs
@@ -68,10 +68,10 @@
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// assert!(book.begin_start(&key, false, Instant::now()));
-    /// assert!(!book.begin_start(&key, false, Instant::now()));
+    /// assert!(book.accept_start(&key, false, Instant::now()));
+    /// assert!(!book.accept_start(&key, false, Instant::now()));
     /// ```
-    pub fn begin_start(&mut self, key: &RunKey, is_repeat: bool, now: Instant) -> bool {
+    pub fn accept_start(&mut self, key: &RunKey, is_repeat: bool, now: Instant) -> bool {
         if self.starts.contains_key(key) || self.stops.contains_key(key) {
             return false;
         }
@@ -96,10 +96,10 @@
     /// let now = Instant::now();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// book.begin_start(&key, false, now);
+    /// book.accept_start(&key, false, now);
     /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
     /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Send);
-    /// book.begin_stop(&key);
+    /// book.accept_stop(&key);
     /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Over(None));
     /// ```
     pub fn next_step(
@@ -135,8 +135,8 @@
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
     /// let mut book = OrderBook::default();
-    /// book.begin_start(&key, false, now);
-    /// book.begin_stop(&key);
+    /// book.accept_start(&key, false, now);
+    /// book.accept_stop(&key);
     /// assert_eq!(book.begin_attempt(&key, &conditions, now), None);
     /// ```
     pub fn begin_attempt(
@@ -190,10 +190,10 @@
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// assert!(book.begin_stop(&key));
-    /// assert!(!book.begin_start(&key, false, Instant::now()), "what is to stop does not start");
+    /// assert!(book.accept_stop(&key));
+    /// assert!(!book.accept_start(&key, false, Instant::now()), "what is to stop does not start");
     /// ```
-    pub fn begin_stop(&mut self, key: &RunKey) -> bool {
+    pub fn accept_stop(&mut self, key: &RunKey) -> bool {
         let is_new = !self.stops.contains_key(key);
         if is_new {
             self.stops.insert(key.clone(), RunStop::Sending);
@@ -219,7 +219,7 @@
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// book.begin_stop(&key);
+    /// book.accept_stop(&key);
     /// book.on_stop_taken(&key);
     /// assert!(!book.is_stop_due(&key));
     /// ```
@@ -239,9 +239,9 @@
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// book.begin_stop(&key);
+    /// book.accept_stop(&key);
     /// book.on_new_epoch();
-    /// assert!(book.begin_stop(&key));
+    /// assert!(book.accept_stop(&key));
     /// ```
     pub fn on_new_epoch(&mut self) {
         for start in self.starts.values_mut() {
@@ -257,7 +257,7 @@
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut book = OrderBook::default();
-    /// book.begin_stop(&key);
+    /// book.accept_stop(&key);
     /// book.on_expiry();
     /// assert!(!book.is_stop_due(&key));
     /// ```
@@ -277,7 +277,7 @@
     ///
     /// let mut book = OrderBook::default();
     /// let look = book.next_poll_number();
-    /// book.begin_start(&("a.0.0.0".parse().unwrap(), 1), false, Instant::now());
+    /// book.accept_start(&("a.0.0.0".parse().unwrap(), 1), false, Instant::now());
     /// let mut present = Vec::new();
     /// book.complete(look, &mut present, &[]);
     /// assert_eq!(present.len(), 1);
--- a/src/process/node/orders.rs
+++ b/src/process/node/order_sender.rs
@@ -23,7 +23,7 @@
 
 /// Takes orders for the present life of the runner; orders for another life are only counted, since the
 /// next report names the present one.
-pub fn take_orders(shared: &Arc<NodeShared>, call: OrderCall) {
+pub fn accept_orders(shared: &Arc<NodeShared>, call: OrderCall) {
     let target = shared.state().target().filter(|target| target.instance == call.instance);
     for order in call.orders {
         match (&target, order) {
@@ -39,7 +39,7 @@
 }
 
 fn take_start(shared: &Arc<NodeShared>, target: &RunnerTarget, order: StartOrder) {
-    if !shared.state().begin_start(&order, clock::now()) {
+    if !shared.state().accept_start(&order, clock::now()) {
         return;
     }
     let key = (order.traits.task.clone(), order.run);
@@ -49,7 +49,7 @@
 }
 
 fn take_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
-    if shared.state().begin_stop(&key) {
+    if shared.state().accept_stop(&key) {
         spawn_stop(shared, target, key);
     }
 }
--- a/src/process/node/rpc.rs
+++ b/src/process/node/rpc.rs
@@ -17,7 +17,7 @@
 use crate::connection::rpc_client::framed;
 use crate::process::clock;
 use crate::process::logging::log_event;
-use crate::process::node::orders::take_orders;
+use crate::process::node::order_sender::accept_orders;
 use crate::process::node::shared::NodeShared;
 use crate::process::rpc_server::spawn_rpc_server;
 
@@ -74,7 +74,7 @@
 
     async fn order(self, _: Context, call: OrderCall) -> Result<(), StaleLink> {
         self.admit(call.stamp)?;
-        take_orders(&self.shared, call);
+        accept_orders(&self.shared, call);
         Ok(())
     }
 }
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -15,13 +15,13 @@
 
 impl NodeState {
     /// Takes an order to start a run. Says whether it is new.
-    pub fn begin_start(&mut self, order: &StartOrder, now: Instant) -> bool {
+    pub fn accept_start(&mut self, order: &StartOrder, now: Instant) -> bool {
         let key = (order.traits.task.clone(), order.run);
         self.traits.insert(key.0.clone(), order.traits.clone());
         if order.is_repeat {
             self.unsettled.on_sending(&key, now);
         }
-        self.book.begin_start(&key, order.is_repeat, now)
+        self.book.accept_start(&key, order.is_repeat, now)
     }
 
     /// Decides what has to be done next about a start.
@@ -91,8 +91,8 @@
     }
 
     /// Takes an order to stop a run. Says whether it is new.
-    pub fn begin_stop(&mut self, key: &RunKey) -> bool {
-        self.book.begin_stop(key)
+    pub fn accept_stop(&mut self, key: &RunKey) -> bool {
+        self.book.accept_stop(key)
     }
 
     /// Where a stop that was ordered for a target has to be sent, until the runner has taken it; tokens may have been raised since.
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -50,7 +50,7 @@
 
     fn order(&mut self, is_repeat: bool) {
         let order = start_order(plain_traits(TASK, ROOM), is_repeat);
-        assert!(self.state.begin_start(&order, self.now));
+        assert!(self.state.accept_start(&order, self.now));
     }
 
     fn beat(&mut self, sequence: u64, draining: bool) {
@@ -166,12 +166,12 @@
     let begun = begun_run(TASK);
     agent.look(vec![begun.clone()]);
     let key = agent.key.clone();
-    assert!(agent.state.begin_stop(&key));
+    assert!(agent.state.accept_stop(&key));
     agent.try_stop(refusal(RejectReason::Unwell));
     agent.try_stop(Err(RunnerError::Fenced));
     agent.look(vec![begun]);
     assert!(agent.is_stop_due());
-    assert!(!agent.state.begin_stop(&key), "it is still being sent");
+    assert!(!agent.state.accept_stop(&key), "it is still being sent");
     agent.try_stop(Ok(()));
     assert!(!agent.is_stop_due());
 }
@@ -182,7 +182,7 @@
     let mut agent = Agent::with_start(false);
     assert_matches!(agent.next_step(), StartStep::Send);
     let key = agent.key.clone();
-    agent.state.begin_stop(&key);
+    agent.state.accept_stop(&key);
     agent.try_stop(Ok(()));
     let target = agent.target();
     assert_eq!(agent.state.begin_attempt(&target, &key, &ROOM, agent.now), None);
@@ -195,7 +195,7 @@
     let mut agent = Agent::with_start(false);
     agent.try_start(silence());
     let key = agent.key.clone();
-    agent.state.begin_stop(&key);
+    agent.state.accept_stop(&key);
     assert_eq!(agent.next_step(), StartStep::Over(None));
     assert_eq!(agent.look(Vec::new()).present.len(), 1);
     agent.try_stop(silence());
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -104,7 +104,7 @@
 
 /// A try to start a run leaves.
 fn send(state: &mut NodeState, key: &RunKey, now: Instant) {
-    state.begin_start(&order(key), now);
+    state.accept_start(&order(key), now);
     let target = state.target().unwrap();
     let sent = state.begin_attempt(&target, key, &RoomAmount::default(), now);
     assert!(sent.is_some(), "nothing speaks against the start");
@@ -127,13 +127,13 @@
     let now = Instant::now();
     let mut state = linked(now);
     let (number, _) = state.next_poll(Duration::ZERO, now);
-    state.begin_start(&order(&key("a.0.0.1")), now);
+    state.accept_start(&order(&key("a.0.0.1")), now);
     state.on_orders(1, 2);
     state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).snapshot.unwrap().orders_seen, 0);
 
     let (number, _) = state.next_poll(Duration::ZERO, now);
-    state.begin_start(&order(&key("a.0.0.0")), now);
+    state.accept_start(&order(&key("a.0.0.0")), now);
     state.on_orders(0, 1);
     state.on_poll_response(number, lists(0), now);
     let look = state.report(now).snapshot.unwrap();
@@ -272,14 +272,14 @@
     let now = Instant::now();
     let mut state = linked(now);
     let (started, stopped) = (key("a.0.0.0"), key("a.0.0.1"));
-    state.begin_start(&order(&started), now);
-    assert!(state.begin_stop(&stopped));
+    state.accept_start(&order(&started), now);
+    assert!(state.accept_stop(&stopped));
     let (before, _) = state.next_poll(Duration::ZERO, now);
     state.admit(LinkStamp { epoch: STAMP.epoch, link: 2 }).unwrap();
-    assert!(!state.begin_stop(&stopped), "a new link of the same planner changes nothing");
+    assert!(!state.accept_stop(&stopped), "a new link of the same planner changes nothing");
 
     state.admit(LinkStamp { epoch: STAMP.epoch + 1, link: 1 }).unwrap();
-    assert!(state.begin_stop(&stopped));
+    assert!(state.accept_stop(&stopped));
     state.on_poll_response(before, lists(1), now);
     assert_eq!(present(&mut state, now), 1, "a look from before the change cannot tell");
     let (after, _) = state.next_poll(Duration::ZERO, now);
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -121,7 +121,7 @@
         {
             match order {
                 NodeOrder::Start(start) => {
-                    if one.state.begin_start(start, now) {
+                    if one.state.accept_start(start, now) {
                         let key = (start.traits.task.clone(), start.run);
                         let tried = StartTry { key, room: start.traits.room };
                         next.push(Event::Try { agent, run, target: target.clone(), tried });
@@ -129,7 +129,7 @@
                 }
                 NodeOrder::Stop(task, number) => {
                     let key = (task.clone(), *number);
-                    if one.state.begin_stop(&key) {
+                    if one.state.accept_stop(&key) {
                         let queued = QueuedOrder::Stop(key);
                         next.push(Event::Slot { agent, run, target: target.clone(), queued });
                     }
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -80,11 +80,11 @@
 fn an_order_that_comes_before_its_refusal_was_told_is_not_tried_beside_it() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, Err(RunnerError::Rejected { reason: RejectReason::Unwell }), now);
     look(&mut state, now);
 
-    state.begin_start(&order(true), now);
+    state.accept_start(&order(true), now);
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
     let told = state.report(now).snapshot.unwrap();
@@ -98,7 +98,7 @@
 fn a_start_does_not_wait_for_a_life_that_is_not_looked_for_any_more() {
     let now = Instant::now();
     let mut state = linked(Some(200), now);
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.report(now).unsettled, [key()]);
@@ -113,7 +113,7 @@
 fn a_start_does_not_wait_for_a_life_that_answered_and_never_registered() {
     let now = Instant::now();
     let mut state = linked(Some(200), now);
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
     assert!(state.on_crash("i-1", now));
     state.on_successor_response(&Ok(()), now);
@@ -130,7 +130,7 @@
     let now = Instant::now();
     let mut state = linked(None, now);
     state.on_heartbeat(runner(300, 2, None));
-    state.begin_start(&order(true), now);
+    state.accept_start(&order(true), now);
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
     assert!(!matches!(step, StartStep::Send), "{step:?}");
@@ -177,7 +177,7 @@
 fn a_run_that_is_slow_to_end_after_its_stop_is_not_told_as_refused() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
     try_start(&mut state, Err(RunnerError::Rejected { reason: RejectReason::Room }), now);
     let target = state.target().unwrap();
@@ -199,7 +199,7 @@
 fn a_start_that_was_ordered_before_waits_for_the_next_life_untried() {
     let now = Instant::now();
     let mut state = linked(Some(200), now);
-    state.begin_start(&order(true), now);
+    state.accept_start(&order(true), now);
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.report(now).unsettled, [key()]);
 }
@@ -210,10 +210,10 @@
     let now = Instant::now();
     let mut state = linked(Some(200), now);
     let before = state.target().unwrap();
-    state.begin_stop(&key());
+    state.accept_stop(&key());
     assert!(state.on_crash("i-1", now));
     state.on_heartbeat(next_life(264));
-    assert!(state.begin_stop(&key()));
+    assert!(state.accept_stop(&key()));
     state.on_stop_answer(&before, &key(), &Ok(()));
     let target = state.target().unwrap();
     assert!(state.stop_target(&target, &key()).is_some());
@@ -224,8 +224,8 @@
 fn a_start_does_not_leave_while_its_stop_is_on_its_way() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    state.begin_start(&order(false), now);
-    state.begin_stop(&key());
+    state.accept_start(&order(false), now);
+    state.accept_stop(&key());
     let target = state.target().unwrap();
     assert_eq!(state.begin_attempt(&target, &key(), &ROOM, now), None);
 }
@@ -239,7 +239,7 @@
     let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!(hold.lease_end, Some(9_000));
     state.on_sync(&lease_call(STAMP, Duration::from_secs(14)));
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
     assert!(!state.on_no_answer(false, now + Duration::from_secs(12)));
     assert!(state.on_no_answer(false, now + Duration::from_secs(30)));
@@ -250,7 +250,7 @@
 fn a_repeat_that_never_left_does_not_settle_a_start_without_an_answer() {
     let now = Instant::now();
     let mut state = linked(None, now);
-    state.begin_start(&order(false), now);
+    state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
     try_start(&mut state, Err(RunnerError::NotRunning), now);
     try_start(&mut state, Err(RunnerError::Rejected { reason: RejectReason::Unwell }), now);
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -25,7 +25,7 @@
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
-use greengagearch::process::node::orders::take_orders;
+use greengagearch::process::node::order_sender::accept_orders;
 use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::shared::NodeShared;
 use greengagearch::process::node::state::NodeState;
@@ -139,14 +139,14 @@
 async fn a_start_beyond_a_capacity_that_has_shrunk_is_refused_by_the_agent() {
     let control = Arc::new(UnguardedRunner::default());
     let shared = linked(control.clone(), clock::now());
-    take_orders(&shared, start(1, "b.0.0.0", 1_000));
+    accept_orders(&shared, start(1, "b.0.0.0", 1_000));
     while control.started.lock().unwrap().is_empty() {
         tokio::time::sleep(POLL).await;
     }
 
     // The next start was decided before this heartbeat.
     shared.state().on_heartbeat(runner(2_500, 2));
-    take_orders(&shared, start(2, "c.0.0.0", 1_000));
+    accept_orders(&shared, start(2, "c.0.0.0", 1_000));
     let refused = timeout(LIMIT, next_refusal(&shared)).await.expect("a refusal");
     assert_eq!(refused.reason, RejectReason::Room);
     assert_eq!(refused.task.to_string(), "c.0.0.0");
