--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_book.rs
@@ -100,7 +100,7 @@
     /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
     /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Send);
     /// book.accept_stop(&key);
-    /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Over(None));
+    /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Finished(None));
     /// ```
     pub fn next_step(
         &mut self,
@@ -109,11 +109,11 @@
         now: Instant,
     ) -> StartStep {
         let Some(start) = self.starts.get_mut(key) else {
-            return StartStep::Over(None);
+            return StartStep::Finished(None);
         };
         if self.stops.contains_key(key) {
             start.withdraw(self.looks);
-            return StartStep::Over(None);
+            return StartStep::Finished(None);
         }
         let step = start.next_step(conditions, self.looks, now);
         if let StartStep::Stop(_) = step {
--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -74,7 +74,7 @@
                     spawn_stop(&self.shared, &self.target, self.key.clone());
                     break Some(reason);
                 }
-                StartStep::Over(refusal) => break refusal,
+                StartStep::Finished(refusal) => break refusal,
             }
         };
         let outcome = refusal.map_or("settled".to_string(), |reason| format!("{reason:?}"));
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -47,7 +47,7 @@
     /// It is given up for this reason and may begin all the same: stop it.
     Stop(RejectReason),
     /// Nothing: looks show what has become of it. The runner does not get it for this reason, if there is one.
-    Over(Option<RejectReason>),
+    Finished(Option<RejectReason>),
 }
 
 /// An order to start a run, from its coming until looks show what has become of it.
@@ -107,7 +107,7 @@
                 None => self.send_step(conditions, now),
                 Some(reason) => {
                     self.start = RunStart::Closed(idle.close(newest, Some(reason)));
-                    StartStep::Over(Some(reason))
+                    StartStep::Finished(Some(reason))
                 }
             },
             RunStart::Doubtful(doubtful) => {
@@ -120,7 +120,7 @@
                 }
             }
             RunStart::Sent(_) => StartStep::Wait(REPEAT_PAUSE),
-            RunStart::Closed(closed) => StartStep::Over(closed.refusal),
+            RunStart::Closed(closed) => StartStep::Finished(closed.refusal),
         }
     }
 
--- a/src/process/node/rpc.rs
+++ b/src/process/node/rpc.rs
@@ -58,7 +58,7 @@
         self.admit(call.stamp)?;
         self.shared.state().on_sync(&call);
         let news = async {
-            while !self.shared.state().has_news() {
+            while !self.shared.state().has_changes() {
                 self.shared.news.notified().await;
             }
         };
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -33,7 +33,7 @@
         now: Instant,
     ) -> StartStep {
         if !self.is_current_target(target) {
-            return StartStep::Over(None);
+            return StartStep::Finished(None);
         }
         let conditions = self.start_conditions(key, room, now);
         self.book.next_step(key, &conditions, now)
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -90,13 +90,13 @@
             false
         }
     };
-    let has_news = state.has_news();
+    let has_changes = state.has_changes();
     drop(state);
     if has_ended {
         log_end(shared, target);
         shared.life_changed.notify_one();
     }
-    if has_news {
+    if has_changes {
         shared.news.notify_one();
     }
 }
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -61,7 +61,7 @@
     /// What the newest look showed, with starts on their way.
     pub(super) present: BTreeSet<RunKey>,
     reported_ends: u64,
-    has_news: bool,
+    has_changes: bool,
     /// What orders have become that looks do not show yet.
     pub(super) book: OrderBook,
     /// Runs that the present life has begun of late.
@@ -99,7 +99,7 @@
             fresh_snapshot: None,
             present: BTreeSet::new(),
             reported_ends: 0,
-            has_news: false,
+            has_changes: false,
             book: OrderBook::default(),
             begun: BegunRuns::default(),
             unsettled: UnsettledStarts::default(),
@@ -123,7 +123,7 @@
             self.orders = OrderSequence::default();
             self.reported_ends = 0;
             self.fresh_snapshot = None;
-            self.has_news = true;
+            self.has_changes = true;
         }
         Ok(is_new)
     }
@@ -141,7 +141,7 @@
     /// Takes a heartbeat of the runner.
     pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
         let effect = self.lives.on_heartbeat(runner, self.book.newest_poll());
-        self.has_news |= effect == HeartbeatEffect::Changed;
+        self.has_changes |= effect == HeartbeatEffect::Changed;
         effect
     }
 
@@ -224,7 +224,7 @@
         self.present.clear();
         self.reported_ends = 0;
         self.pace = PaceControl::default();
-        self.has_news = true;
+        self.has_changes = true;
     }
 
     /// The present life of the runner.
@@ -305,8 +305,8 @@
         self.is_proven = true;
         self.is_idle = false;
         self.silent_since = None;
-        self.has_news |= self.unsettled.on_look(number, |key| is_shown(&lists, key), now);
-        self.has_news |= self.lives.on_answer(number);
+        self.has_changes |= self.unsettled.on_look(number, |key| is_shown(&lists, key), now);
+        self.has_changes |= self.lives.on_answer(number);
         self.begun.on_look(&lists.running, now);
         let mut present = lists.running;
         for run in &mut present {
@@ -315,7 +315,7 @@
             run.measured_percent = self.pace.measured(&key, now);
         }
         self.show(number, present, lists.ended);
-        self.has_news
+        self.has_changes
     }
 
     /// Makes a look out of what runs and what has ended, for the planner's next call.
@@ -325,15 +325,15 @@
         self.traits.retain(|task, _| present.iter().any(|run| run.task == *task));
         self.first_listed = ended.first().map(|ended| ended.number);
         let last = ended.last().map_or(0, |ended| ended.number);
-        self.has_news |= last > self.reported_ends || self.book.has_refusals();
+        self.has_changes |= last > self.reported_ends || self.book.has_refusals();
         let (rejected, orders_seen) = (Vec::new(), self.orders.seen());
         self.fresh_snapshot = Some(RunnerSnapshot { present, ended, rejected, orders_seen });
     }
 
     /// Whether the planner should hear of something at once.
-    pub fn has_news(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         // Without a runner there is no look to wait for, and what ran on it waits to start elsewhere.
-        self.has_news && (self.fresh_snapshot.is_some() || self.lives.present().is_none())
+        self.has_changes && (self.fresh_snapshot.is_some() || self.lives.present().is_none())
     }
 
     /// What the planner is told: the newest look, once.
@@ -345,7 +345,7 @@
             self.reported_ends = self.reported_ends.max(last);
         }
         if look.is_some() || self.lives.present().is_none() {
-            self.has_news = false;
+            self.has_changes = false;
         }
         NodeReport {
             now: now.saturating_duration_since(self.started),
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -127,7 +127,7 @@
 fn a_refused_first_try_is_told_with_the_next_look() {
     let mut agent = Agent::with_start(false);
     agent.try_start(refusal(RejectReason::Unwell));
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Unwell)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Unwell)));
     assert!(!agent.is_stop_due());
     let look = agent.look(Vec::new());
     assert_eq!((look.present.len(), look.rejected.len()), (0, 1));
@@ -140,7 +140,7 @@
     agent.try_start(refusal(RejectReason::Unwell));
     assert_eq!(agent.look(Vec::new()).rejected.len(), 1);
     agent.order(true);
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Unwell)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Unwell)));
     assert_eq!(agent.look(Vec::new()).rejected.len(), 1);
 }
 
@@ -154,7 +154,7 @@
     let look = agent.look(vec![begun]);
     assert_eq!((look.present.len(), look.rejected.len()), (1, 0));
     agent.now += Duration::from_secs(2);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
     assert!(!agent.is_stop_due());
 }
 
@@ -186,7 +186,7 @@
     agent.try_stop(Ok(()));
     let target = agent.target();
     assert_eq!(agent.state.begin_attempt(&target, &key, &ROOM, agent.now), None);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
 }
 
 /// Guards against a task that runs twice: a stop that the runner has not taken does not rule out that a late start begins.
@@ -196,7 +196,7 @@
     agent.try_start(silence());
     let key = agent.key.clone();
     agent.state.accept_stop(&key);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
     assert_eq!(agent.look(Vec::new()).present.len(), 1);
     agent.try_stop(silence());
     assert_eq!(agent.look(Vec::new()).present.len(), 1);
@@ -227,7 +227,7 @@
     let mut agent = Agent::with_start(false);
     agent.try_start(silence());
     agent.try_start(refusal(RejectReason::Old));
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Old)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Old)));
     let look = agent.look(Vec::new());
     assert_eq!((look.present.len(), look.rejected.len()), (0, 1));
 }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -366,9 +366,9 @@
     let now = Instant::now();
     let mut state = linked(now);
     state.on_crash("i-1", now);
-    assert!(state.has_news());
+    assert!(state.has_changes());
     assert_eq!(state.report(now).former, ["i-1"]);
-    assert!(!state.has_news());
+    assert!(!state.has_changes());
 }
 
 /// Guards against a runner that is out of the fleet for good after a crash: the next life under its id counts its heartbeats from
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -36,7 +36,7 @@
             StartStep::Stop(_) => {
                 self.await_slot(agent, run, target, QueuedOrder::Stop(tried.key));
             }
-            StartStep::Over(_) => {}
+            StartStep::Finished(_) => {}
         }
     }
 
