--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -338,13 +338,13 @@
 
     /// What the planner is told: the newest look, once.
     pub fn report(&mut self, now: Instant) -> NodeReport {
-        let mut look = self.fresh_snapshot.take();
-        if let Some(look) = &mut look {
-            look.rejected = self.book.take_refusals();
-            let last = look.ended.last().map_or(0, |ended| ended.number);
+        let mut snapshot = self.fresh_snapshot.take();
+        if let Some(snapshot) = &mut snapshot {
+            snapshot.rejected = self.book.take_refusals();
+            let last = snapshot.ended.last().map_or(0, |ended| ended.number);
             self.reported_ends = self.reported_ends.max(last);
         }
-        if look.is_some() || self.lives.present().is_none() {
+        if snapshot.is_some() || self.lives.present().is_none() {
             self.has_changes = false;
         }
         NodeReport {
@@ -353,7 +353,7 @@
             former: self.lives.former(),
             unsettled: self.unsettled.keys(),
             crashes: self.lives.crashes(now),
-            snapshot: look,
+            snapshot,
         }
     }
 }
