--- a/src/process/node/life_keeper.rs
+++ b/src/process/node/instance_recorder.rs
@@ -29,35 +29,35 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// The row of this host, as far as it is known.
-pub struct LifeKeeper {
+pub struct InstanceRecorder {
     shared: Arc<NodeShared>,
     store: Arc<dyn RowStore>,
     name: RowName,
-    lives: Vec<InstanceId>,
+    instances: Vec<InstanceId>,
     version: RowVersion,
 }
 
-impl LifeKeeper {
+impl InstanceRecorder {
     /// Reads the row of the host whose agent is reached at `address`, and adds lives that begin. The task ends
     /// with the process.
     pub fn spawn(shared: Arc<NodeShared>, store: Arc<dyn RowStore>, address: &str) {
         let name = RowName::new(LIFE_TABLE, HOST_PARTITION, address);
-        let keeper = LifeKeeper { shared, store, name, lives: Vec::new(), version: 0 };
+        let keeper = InstanceRecorder { shared, store, name, instances: Vec::new(), version: 0 };
         tokio::spawn(keeper.run());
     }
 
     async fn run(mut self) {
         self.read_until_known().await;
-        let newest = self.lives.last().map_or("", String::as_str);
+        let newest = self.instances.last().map_or("", String::as_str);
         log_event(
             Level::Info,
             "lives_read",
-            &[("lives", &self.lives.len()), ("newest", &newest), ("version", &self.version)],
+            &[("lives", &self.instances.len()), ("newest", &newest), ("version", &self.version)],
         );
-        self.shared.state().on_earlier_instances(self.lives.clone());
+        self.shared.state().on_earlier_instances(self.instances.clone());
         loop {
-            self.shared.life_changed.notified().await;
-            while let Some(life) = self.new_life() {
+            self.shared.instance_changed.notified().await;
+            while let Some(life) = self.unrecorded_instance() {
                 self.add(life).await;
             }
         }
@@ -74,16 +74,20 @@
 
     fn adopt(&mut self, row: Option<&StoredRow>) {
         let stored: Option<LifeRow> = row.and_then(decode);
-        self.lives = stored.unwrap_or_default().lives;
+        self.instances = stored.unwrap_or_default().lives;
         self.version = row.filter(|row| row.value.is_some()).map_or(0, |row| row.version);
     }
 
-    fn new_life(&self) -> Option<InstanceId> {
-        self.shared.state().current_instance().filter(|life| !self.lives.contains(life)).cloned()
+    fn unrecorded_instance(&self) -> Option<InstanceId> {
+        self.shared
+            .state()
+            .current_instance()
+            .filter(|life| !self.instances.contains(life))
+            .cloned()
     }
 
     async fn add(&mut self, life: InstanceId) {
-        let mut lives = self.lives.clone();
+        let mut lives = self.instances.clone();
         lives.push(life);
         let surplus = lives.len().saturating_sub(KEPT_LIVES);
         lives.drain(..surplus);
@@ -94,7 +98,7 @@
             removes: Vec::new(),
         };
         match self.store.commit(&transaction).await {
-            Ok(version) => (self.lives, self.version) = (row.lives, version),
+            Ok(version) => (self.instances, self.version) = (row.lives, version),
             Err(RowError::Conflict { rows }) => self.adopt(rows.first()),
             Err(error) => {
                 self.pause_after(&error).await;
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod begun_runs;
 pub mod fence;
-pub mod life_keeper;
+pub mod instance_recorder;
 pub mod order_attempts;
 pub mod order_book;
 pub mod order_sender;
@@ -12,8 +12,8 @@
 pub mod rpc;
 pub mod run_orders;
 pub mod run_start;
+pub mod runner_instances;
 pub mod runner_lease;
-pub mod runner_lives;
 pub mod runner_poller;
 pub mod runner_targets;
 pub mod shared;
@@ -37,7 +37,7 @@
 use crate::process::http_server::spawn_http_server;
 use crate::process::logging::log_event;
 use crate::process::metrics::serve_metrics;
-use crate::process::node::life_keeper::LifeKeeper;
+use crate::process::node::instance_recorder::InstanceRecorder;
 use crate::process::node::shared::NodeShared;
 use crate::process::planning::registration::register;
 use crate::process::planning::rows::NODE_TABLE;
@@ -89,7 +89,7 @@
         rpc::spawn_node_rpc(internal, shared.clone());
         runner_poller::spawn_runner_poller(shared.clone());
         let reached_at = settings.internal_advertise.unwrap_or(addresses.internal).to_string();
-        LifeKeeper::spawn(shared.clone(), store.clone(), &reached_at);
+        InstanceRecorder::spawn(shared.clone(), store.clone(), &reached_at);
         let router = runner_registry::router(shared);
         spawn_http_server(registry, router, HttpLimits::default(), stop.clone());
         tokio::spawn(register(store, NODE_TABLE, settings.id, reached_at));
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -116,7 +116,7 @@
     /// Whether the runner's newest capacity holds a run beside everything that it shows or is about to start; what is being
     /// stopped counts until it has ended. A start may have been decided before the capacity shrank, and waited for the store.
     pub fn has_room(&self, key: &RunKey, room: &RoomAmount) -> bool {
-        let Some(runner) = self.lives.present() else {
+        let Some(runner) = self.instances.current() else {
             return false;
         };
         let others: BTreeSet<&RunKey> = self.present.iter().chain(self.book.starting()).collect();
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -29,7 +29,7 @@
         loop {
             let target = shared.state().target();
             let Some(target) = target else {
-                await_life(&shared).await;
+                await_instance(&shared).await;
                 continue;
             };
             match look(&shared, &target).await {
@@ -52,18 +52,18 @@
 
 /// Waits for a life of the runner to register. One that may be back under the id of the last is called before that, so that it takes
 /// nothing that was meant for the last one.
-async fn await_life(shared: &NodeShared) {
+async fn await_instance(shared: &NodeShared) {
     let awaited = shared.state().successor_target();
     let Some(target) = awaited else {
         return shared.look.notified().await;
     };
     tokio::select! {
-        () = call_next_life(shared, &target) => {}
+        () = poll_successor(shared, &target) => {}
         () = shared.look.notified() => {}
     }
 }
 
-async fn call_next_life(shared: &NodeShared, target: &RunnerTarget) {
+async fn poll_successor(shared: &NodeShared, target: &RunnerTarget) {
     let answer = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
     shared.state().on_successor_response(&answer, clock::now());
     tokio::time::sleep(RETRY_PAUSE).await;
@@ -94,7 +94,7 @@
     drop(state);
     if has_ended {
         log_end(shared, target);
-        shared.life_changed.notify_one();
+        shared.instance_changed.notify_one();
     }
     if has_changes {
         shared.news.notify_one();
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -11,7 +11,7 @@
 impl NodeState {
     /// Where orders go, and under which epoch; nothing without a runner or a planner.
     pub fn target(&self) -> Option<RunnerTarget> {
-        self.target_of(self.lives.present()?, self.fence_raise)
+        self.target_of(self.instances.current()?, self.fence_raise)
     }
 
     fn target_of(&self, runner: &RegisteredRunner, fence_raise: u32) -> Option<RunnerTarget> {
@@ -27,7 +27,7 @@
     /// Where the next life of the runner will listen, before it has registered. A call with this token makes it refuse what was meant
     /// for the life before.
     pub fn successor_target(&self) -> Option<RunnerTarget> {
-        self.target_of(self.lives.awaited()?, 0)
+        self.target_of(self.instances.predecessor()?, 0)
     }
 
     /// Takes note of what became of a call for the next life of the runner. One that answers is called until it has registered.
@@ -37,7 +37,7 @@
             Err(RunnerError::Rejected { .. } | RunnerError::NoAnswer { .. }) => {}
             Err(RunnerError::NotRunning) => self.unsettled.on_nobody(now),
         }
-        if self.lives.on_unanswered(now) {
+        if self.instances.on_successor_unanswered(now) {
             self.unsettled.give_up();
         }
     }
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -35,7 +35,7 @@
     /// Wakes the loop that looks at the runner.
     pub look: Notify,
     /// Tells that another life of the runner may have begun.
-    pub life_changed: Notify,
+    pub instance_changed: Notify,
     state: Mutex<NodeState>,
     /// The life of the last heartbeat that was dropped: those that follow are not logged again.
     dropped: Mutex<InstanceId>,
@@ -50,7 +50,7 @@
             metrics: ProcessMetrics::open(),
             news: Notify::new(),
             look: Notify::new(),
-            life_changed: Notify::new(),
+            instance_changed: Notify::new(),
             state: Mutex::new(NodeState::new(clock::now())),
             dropped: Mutex::default(),
         }
@@ -94,7 +94,7 @@
         if effect == HeartbeatEffect::Changed {
             self.news.notify_one();
             self.look.notify_one();
-            self.life_changed.notify_one();
+            self.instance_changed.notify_one();
         }
     }
 
@@ -102,7 +102,7 @@
         log_event(log::Level::Info, "runner_left", &[("runner", &runner)]);
         if self.state().on_deregister(runner, clock::now()) {
             self.news.notify_one();
-            self.life_changed.notify_one();
+            self.instance_changed.notify_one();
         }
     }
 }
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -26,8 +26,8 @@
 use crate::process::node::order_sequence::OrderSequence;
 use crate::process::node::registered_runner::HeartbeatEffect;
 use crate::process::node::registered_runner::RegisteredRunner;
+use crate::process::node::runner_instances::RunnerInstances;
 use crate::process::node::runner_lease::RunnerLease;
-use crate::process::node::runner_lives::RunnerLives;
 use crate::process::node::unsettled_starts::UnsettledStarts;
 use crate::workflow::pacing::PaceControl;
 use crate::workflow::task_name::TaskName;
@@ -41,7 +41,7 @@
 pub struct NodeState {
     started: Instant,
     pub(super) stamp: LinkStamp,
-    pub(super) lives: RunnerLives,
+    pub(super) instances: RunnerInstances,
     pub(super) lease: RunnerLease,
     /// Whether the present life has answered the last look.
     is_proven: bool,
@@ -86,7 +86,7 @@
         NodeState {
             started,
             stamp: LinkStamp::default(),
-            lives: RunnerLives::default(),
+            instances: RunnerInstances::default(),
             lease: RunnerLease::none(started),
             is_proven: false,
             is_idle: false,
@@ -140,7 +140,7 @@
 
     /// Takes a heartbeat of the runner.
     pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
-        let effect = self.lives.on_heartbeat(runner, self.book.newest_poll());
+        let effect = self.instances.on_heartbeat(runner, self.book.newest_poll());
         self.has_changes |= effect == HeartbeatEffect::Changed;
         effect
     }
@@ -155,7 +155,7 @@
         }
         let has_expired = self.lease.has_expired(now);
         if has_expired {
-            self.end_life(now);
+            self.end_instance(now);
         }
         has_expired
     }
@@ -178,9 +178,9 @@
 
     /// Takes note that a runner says that it ends. Says whether its present life is over.
     pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
-        let has_left = self.lives.on_deregister(runner, self.book.newest_poll());
+        let has_left = self.instances.on_deregister(runner, self.book.newest_poll());
         if has_left {
-            self.end_life(now);
+            self.end_instance(now);
         }
         has_left
     }
@@ -191,26 +191,26 @@
         if is_present {
             let crashed = self.silent_since.unwrap_or(now);
             let young = self.begun.young_at(self.lease.answered(), crashed);
-            self.lives.note_crash(young, now);
-            self.end_life(now);
+            self.instances.record_crash(young, now);
+            self.end_instance(now);
         }
         is_present
     }
 
     /// The life that broke off last, for the log.
     pub fn last_crash(&self) -> Option<&RunnerCrash> {
-        self.lives.last_crash()
+        self.instances.last_crash()
     }
 
     /// Forgets what is known of the present life, which is over.
-    fn end_life(&mut self, now: Instant) {
-        if self.lives.may_return() {
+    fn end_instance(&mut self, now: Instant) {
+        if self.instances.may_have_successor() {
             self.least_fence = self.target().map_or(self.least_fence, |target| target.fence + 1);
-            self.unsettled.end_life(now);
+            self.unsettled.end_instance(now);
         } else {
-            self.unsettled.forget_life();
+            self.unsettled.discard_instance();
         }
-        self.lives.end(now);
+        self.instances.end_current(now);
         self.lease = RunnerLease::none(self.lease.answered());
         self.seen = 0;
         self.first_listed = None;
@@ -229,17 +229,17 @@
 
     /// The present life of the runner.
     pub fn current_instance(&self) -> Option<&InstanceId> {
-        self.lives.name()
+        self.instances.current_id()
     }
 
     /// Takes in which lives earlier agents on this host have known.
     pub fn on_earlier_instances(&mut self, lives: Vec<InstanceId>) {
-        self.lives.on_earlier(lives);
+        self.instances.on_earlier(lives);
     }
 
     /// Whether the runner is leaving.
     pub fn is_draining(&self) -> bool {
-        self.lives.present().is_some_and(|runner| runner.status.draining)
+        self.instances.current().is_some_and(|runner| runner.status.draining)
     }
 
     /// Extends the leases as the planner allows. The span counts from a time that this agent sent.
@@ -260,7 +260,7 @@
 
     /// Whether a start may be tried at `now`: nothing while no lease is known, else whether enough is left.
     pub fn may_start(&self, now: Instant) -> Option<bool> {
-        Some(self.lease.has_enough(now)? && !self.may_be_other_life(now))
+        Some(self.lease.has_enough(now)? && !self.may_be_successor(now))
     }
 
     /// Takes note of orders that came, all of which are known here by now. They count as seen when those
@@ -271,7 +271,7 @@
 
     /// How the next look is to be taken, and its number.
     pub fn next_poll(&mut self, wait: Duration, now: Instant) -> (PollNumber, PollRequest) {
-        if self.may_be_other_life(now) {
+        if self.may_be_successor(now) {
             let hold = PollRequest { lease_end: None, seen: 0, wait: Duration::ZERO };
             return (self.book.next_poll_number(), hold);
         }
@@ -289,9 +289,9 @@
 
     /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
     /// by the numbers of other ones.
-    fn may_be_other_life(&self, now: Instant) -> bool {
+    fn may_be_successor(&self, now: Instant) -> bool {
         let is_old = now.saturating_duration_since(self.lease.answered()) > PROOF_SPAN;
-        self.lives.may_return() && (!self.is_proven || is_old)
+        self.instances.may_have_successor() && (!self.is_proven || is_old)
     }
 
     /// Takes in a look that was sent under a number and answered now. Says whether it brings news.
@@ -306,7 +306,7 @@
         self.is_idle = false;
         self.silent_since = None;
         self.has_changes |= self.unsettled.on_look(number, |key| is_shown(&lists, key), now);
-        self.has_changes |= self.lives.on_answer(number);
+        self.has_changes |= self.instances.on_poll_response(number);
         self.begun.on_look(&lists.running, now);
         let mut present = lists.running;
         for run in &mut present {
@@ -333,7 +333,7 @@
     /// Whether the planner should hear of something at once.
     pub fn has_changes(&self) -> bool {
         // Without a runner there is no look to wait for, and what ran on it waits to start elsewhere.
-        self.has_changes && (self.fresh_snapshot.is_some() || self.lives.present().is_none())
+        self.has_changes && (self.fresh_snapshot.is_some() || self.instances.current().is_none())
     }
 
     /// What the planner is told: the newest look, once.
@@ -344,15 +344,15 @@
             let last = snapshot.ended.last().map_or(0, |ended| ended.number);
             self.reported_ends = self.reported_ends.max(last);
         }
-        if snapshot.is_some() || self.lives.present().is_none() {
+        if snapshot.is_some() || self.instances.current().is_none() {
             self.has_changes = false;
         }
         NodeReport {
             now: now.saturating_duration_since(self.started),
-            runner: self.lives.present().map(|runner| runner.status.clone()),
-            former: self.lives.former(),
+            runner: self.instances.current().map(|runner| runner.status.clone()),
+            former: self.instances.former(),
             unsettled: self.unsettled.keys(),
-            crashes: self.lives.crashes(now),
+            crashes: self.instances.crashes(now),
             snapshot,
         }
     }
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -54,7 +54,7 @@
     /// let now = Instant::now();
     /// let mut starts = UnsettledStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
-    /// starts.end_life(now);
+    /// starts.end_instance(now);
     /// assert_eq!(starts.keys().len(), 1);
     /// ```
     pub fn on_sending(&mut self, key: &RunKey, now: Instant) {
@@ -102,7 +102,7 @@
     /// let now = Instant::now();
     /// let mut starts = UnsettledStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
-    /// starts.end_life(now);
+    /// starts.end_instance(now);
     /// assert!(starts.on_look(1, |_| false, now));
     /// assert!(starts.keys().is_empty());
     /// ```
@@ -137,9 +137,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().end_life(Instant::now());
+    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().end_instance(Instant::now());
     /// ```
-    pub fn end_life(&mut self, now: Instant) {
+    pub fn end_instance(&mut self, now: Instant) {
         let sent = self.sent.drain().filter(|(_, start)| start.is_unsettled(now));
         self.left.extend(sent.map(|(key, _)| (key, now + RETURN_SPAN)));
     }
@@ -147,9 +147,9 @@
     /// Forgets what was sent to the present life, which has ended; none follows under its id.
     ///
     /// ```
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().forget_life();
+    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().discard_instance();
     /// ```
-    pub fn forget_life(&mut self) {
+    pub fn discard_instance(&mut self) {
         self.sent.clear();
     }
 
@@ -165,7 +165,7 @@
     /// let now = Instant::now();
     /// let mut starts = UnsettledStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
-    /// starts.end_life(now);
+    /// starts.end_instance(now);
     /// starts.on_nobody(now + Duration::from_secs(1));
     /// assert_eq!(starts.keys().len(), 1);
     /// starts.on_nobody(now + Duration::from_secs(60));
