--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_tracker.rs
@@ -17,46 +17,46 @@
 
 /// An order to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RunStop {
+enum StopState {
     /// It is being sent.
     Sending,
     /// The runner has taken it: the run has ended, will end, or never begins.
-    Taken,
+    Accepted,
 }
 
 /// Refused runs that are remembered: more than are refused while an order is on its way.
-const REFUSED_KEPT: usize = 512;
+const MAX_REPORTED_REJECTIONS: usize = 512;
 
 /// What was ordered on one life of the runner.
 #[derive(Debug, Default)]
-pub struct OrderBook {
-    looks: PollNumber,
+pub struct OrderTracker {
+    polls: PollNumber,
     starts: HashMap<RunKey, PendingStart>,
-    stops: HashMap<RunKey, RunStop>,
+    stops: HashMap<RunKey, StopState>,
     /// Refused starts that a look sent after the refusal has not shown.
-    reportable: Vec<RejectedRun>,
+    unreported: Vec<RejectedRun>,
     /// The last refusals that were told: the planner has given these runs up, and may have ordered them twice.
-    refused: VecDeque<RejectedRun>,
+    reported: VecDeque<RejectedRun>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Numbers the next look.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().next_poll_number(), 1);
+    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().next_poll_number(), 1);
     /// ```
     pub fn next_poll_number(&mut self) -> PollNumber {
-        self.looks += 1;
-        self.looks
+        self.polls += 1;
+        self.polls
     }
 
     /// Number of the newest look.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().newest_poll(), 0);
+    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().newest_poll(), 0);
     /// ```
     pub fn newest_poll(&self) -> PollNumber {
-        self.looks
+        self.polls
     }
 
     /// Takes an order to start. Of one that was ordered before, a try of an earlier agent may have no answer. Says whether it is new.
@@ -64,20 +64,20 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// assert!(book.accept_start(&key, false, Instant::now()));
-    /// assert!(!book.accept_start(&key, false, Instant::now()));
+    /// let mut tracker = OrderTracker::default();
+    /// assert!(tracker.accept_start(&key, false, Instant::now()));
+    /// assert!(!tracker.accept_start(&key, false, Instant::now()));
     /// ```
     pub fn accept_start(&mut self, key: &RunKey, is_repeat: bool, now: Instant) -> bool {
         if self.starts.contains_key(key) || self.stops.contains_key(key) {
             return false;
         }
-        let refused = self.refused.iter().chain(&self.reportable).find(|run| is_of(run, key));
-        let start = match refused {
-            Some(refused) => PendingStart::refused(refused.reason, self.looks, now),
+        let rejected = self.reported.iter().chain(&self.unreported).find(|run| is_for(run, key));
+        let start = match rejected {
+            Some(rejected) => PendingStart::rejected(rejected.reason, self.polls, now),
             None => PendingStart::new(is_repeat, now),
         };
         self.starts.insert(key.clone(), start);
@@ -89,18 +89,18 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     /// use greengagearch::process::node::pending_start::StartConditions;
     /// use greengagearch::process::node::pending_start::StartStep;
     ///
     /// let now = Instant::now();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// book.accept_start(&key, false, now);
+    /// let mut tracker = OrderTracker::default();
+    /// tracker.accept_start(&key, false, now);
     /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
-    /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Send);
-    /// book.accept_stop(&key);
-    /// assert_eq!(book.next_step(&key, &conditions, now), StartStep::Finished(None));
+    /// assert_eq!(tracker.next_step(&key, &conditions, now), StartStep::Send);
+    /// tracker.accept_stop(&key);
+    /// assert_eq!(tracker.next_step(&key, &conditions, now), StartStep::Finished(None));
     /// ```
     pub fn next_step(
         &mut self,
@@ -112,12 +112,12 @@
             return StartStep::Finished(None);
         };
         if self.stops.contains_key(key) {
-            start.withdraw(self.looks);
+            start.withdraw(self.polls);
             return StartStep::Finished(None);
         }
-        let step = start.next_step(conditions, self.looks, now);
+        let step = start.next_step(conditions, self.polls, now);
         if let StartStep::Stop(_) = step {
-            self.stops.insert(key.clone(), RunStop::Sending);
+            self.stops.insert(key.clone(), StopState::Sending);
         }
         step
     }
@@ -128,16 +128,16 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     /// use greengagearch::process::node::pending_start::StartConditions;
     ///
     /// let now = Instant::now();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
-    /// let mut book = OrderBook::default();
-    /// book.accept_start(&key, false, now);
-    /// book.accept_stop(&key);
-    /// assert_eq!(book.begin_attempt(&key, &conditions, now), None);
+    /// let mut tracker = OrderTracker::default();
+    /// tracker.accept_start(&key, false, now);
+    /// tracker.accept_stop(&key);
+    /// assert_eq!(tracker.begin_attempt(&key, &conditions, now), None);
     /// ```
     pub fn begin_attempt(
         &mut self,
@@ -156,26 +156,26 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// OrderBook::default().on_start_answer(&key, &Ok(()), Instant::now());
+    /// OrderTracker::default().on_start_answer(&key, &Ok(()), Instant::now());
     /// ```
     pub fn on_start_answer(
         &mut self,
         key: &RunKey,
-        answer: &Result<(), RunnerError>,
+        response: &Result<(), RunnerError>,
         now: Instant,
     ) {
         if let Some(start) = self.starts.get_mut(key) {
-            start.on_answer(answer, self.looks, now);
+            start.on_response(response, self.polls, now);
         }
     }
 
     /// Runs whose starts are on their way, as far as looks do not show them.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_book::OrderBook::default().starting().count(), 0);
+    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().starting().count(), 0);
     /// ```
     pub fn starting(&self) -> impl Iterator<Item = &RunKey> {
         self.starts.keys()
@@ -186,17 +186,17 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// assert!(book.accept_stop(&key));
-    /// assert!(!book.accept_start(&key, false, Instant::now()), "what is to stop does not start");
+    /// let mut tracker = OrderTracker::default();
+    /// assert!(tracker.accept_stop(&key));
+    /// assert!(!tracker.accept_start(&key, false, Instant::now()), "what is to stop does not start");
     /// ```
     pub fn accept_stop(&mut self, key: &RunKey) -> bool {
         let is_new = !self.stops.contains_key(key);
         if is_new {
-            self.stops.insert(key.clone(), RunStop::Sending);
+            self.stops.insert(key.clone(), StopState::Sending);
         }
         is_new
     }
@@ -204,29 +204,29 @@
     /// Whether a stop has to be sent, as the runner has not taken it yet.
     ///
     /// ```
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
-    /// assert!(!OrderBook::default().is_stop_due(&("a.0.0.0".parse().unwrap(), 1)));
+    /// assert!(!OrderTracker::default().is_stop_due(&("a.0.0.0".parse().unwrap(), 1)));
     /// ```
     pub fn is_stop_due(&self, key: &RunKey) -> bool {
-        self.stops.get(key) == Some(&RunStop::Sending)
+        self.stops.get(key) == Some(&StopState::Sending)
     }
 
     /// Takes note that the runner has taken a stop: the run has ended, will end, or never begins.
     ///
     /// ```
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// book.accept_stop(&key);
-    /// book.on_stop_taken(&key);
-    /// assert!(!book.is_stop_due(&key));
+    /// let mut tracker = OrderTracker::default();
+    /// tracker.accept_stop(&key);
+    /// tracker.on_stop_accepted(&key);
+    /// assert!(!tracker.is_stop_due(&key));
     /// ```
-    pub fn on_stop_taken(&mut self, key: &RunKey) {
-        self.stops.insert(key.clone(), RunStop::Taken);
+    pub fn on_stop_accepted(&mut self, key: &RunKey) {
+        self.stops.insert(key.clone(), StopState::Accepted);
         if let Some(start) = self.starts.get_mut(key) {
-            start.rule_out(self.looks);
+            start.rule_out(self.polls);
         }
     }
 
@@ -235,35 +235,35 @@
     /// it, and the new planner's own stops have to go out.
     ///
     /// ```
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// book.accept_stop(&key);
-    /// book.on_new_epoch();
-    /// assert!(book.accept_stop(&key));
+    /// let mut tracker = OrderTracker::default();
+    /// tracker.accept_stop(&key);
+    /// tracker.on_new_epoch();
+    /// assert!(tracker.accept_stop(&key));
     /// ```
     pub fn on_new_epoch(&mut self) {
         for start in self.starts.values_mut() {
-            start.rule_out(self.looks);
+            start.rule_out(self.polls);
         }
-        self.stops.retain(|_, stop| *stop == RunStop::Taken);
+        self.stops.retain(|_, stop| *stop == StopState::Accepted);
     }
 
     /// Takes note that all leases have expired: no start that was sent begins any more, and there is nothing to stop.
     ///
     /// ```
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let mut book = OrderBook::default();
-    /// book.accept_stop(&key);
-    /// book.on_expiry();
-    /// assert!(!book.is_stop_due(&key));
+    /// let mut tracker = OrderTracker::default();
+    /// tracker.accept_stop(&key);
+    /// tracker.on_expiry();
+    /// assert!(!tracker.is_stop_due(&key));
     /// ```
     pub fn on_expiry(&mut self) {
         for start in self.starts.values_mut() {
-            start.rule_out(self.looks);
+            start.rule_out(self.polls);
         }
         self.stops.clear();
     }
@@ -273,77 +273,78 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::process::node::order_book::OrderBook;
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
-    /// let mut book = OrderBook::default();
-    /// let look = book.next_poll_number();
-    /// book.accept_start(&("a.0.0.0".parse().unwrap(), 1), false, Instant::now());
+    /// let mut tracker = OrderTracker::default();
+    /// let poll = tracker.next_poll_number();
+    /// tracker.accept_start(&("a.0.0.0".parse().unwrap(), 1), false, Instant::now());
     /// let mut present = Vec::new();
-    /// book.complete(look, &mut present, &[]);
+    /// tracker.reconcile(poll, &mut present, &[]);
     /// assert_eq!(present.len(), 1);
     /// ```
-    pub fn complete(
+    pub fn reconcile(
         &mut self,
-        look: PollNumber,
+        poll: PollNumber,
         present: &mut Vec<PresentRun>,
         ended: &[EndedRun],
     ) {
         let mut missing = Vec::new();
         self.starts.retain(|key, start| {
             // A run that the runner shows, at work or as an end, does not begin again.
-            if is_among(present, key) || has_ended(ended, key) {
+            if is_present(present, key) || has_ended(ended, key) {
                 return false;
             }
             let (task, run) = (key.0.clone(), key.1);
-            let Some(closed) = start.closed().filter(|closed| look > closed.newest) else {
+            let Some(resolved) = start.resolved().filter(|resolved| poll > resolved.newest_poll)
+            else {
                 missing.push(PresentRun::ordered(task, run));
                 return true;
             };
-            let refusal = closed.refusal.map(|reason| RejectedRun { task, run, reason });
-            self.reportable.extend(refusal);
+            let rejection = resolved.rejection.map(|reason| RejectedRun { task, run, reason });
+            self.unreported.extend(rejection);
             false
         });
         present.extend(missing);
-        self.stops.retain(|key, stop| *stop == RunStop::Sending || is_among(present, key));
+        self.stops.retain(|key, stop| *stop == StopState::Sending || is_present(present, key));
     }
 
     /// Whether a refusal has to be told.
     ///
     /// ```
-    /// assert!(!greengagearch::process::node::order_book::OrderBook::default().has_refusals());
+    /// assert!(!greengagearch::process::node::order_tracker::OrderTracker::default().has_rejections());
     /// ```
-    pub fn has_refusals(&self) -> bool {
-        !self.reportable.is_empty()
+    pub fn has_rejections(&self) -> bool {
+        !self.unreported.is_empty()
     }
 
     /// The refusals that have to be told.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::order_book::OrderBook::default().take_refusals().is_empty());
+    /// assert!(greengagearch::process::node::order_tracker::OrderTracker::default().take_rejections().is_empty());
     /// ```
-    pub fn take_refusals(&mut self) -> Vec<RejectedRun> {
-        self.refused.extend(self.reportable.iter().cloned());
-        let surplus = self.refused.len().saturating_sub(REFUSED_KEPT);
-        self.refused.drain(..surplus);
-        std::mem::take(&mut self.reportable)
+    pub fn take_rejections(&mut self) -> Vec<RejectedRun> {
+        self.reported.extend(self.unreported.iter().cloned());
+        let surplus = self.reported.len().saturating_sub(MAX_REPORTED_REJECTIONS);
+        self.reported.drain(..surplus);
+        std::mem::take(&mut self.unreported)
     }
 
     /// Forgets everything, since the life has ended; numbers of looks go on.
     ///
     /// ```
-    /// greengagearch::process::node::order_book::OrderBook::default().clear();
+    /// greengagearch::process::node::order_tracker::OrderTracker::default().clear();
     /// ```
     pub fn clear(&mut self) {
-        *self = OrderBook { looks: self.looks, ..OrderBook::default() };
+        *self = OrderTracker { polls: self.polls, ..OrderTracker::default() };
     }
 }
 
-fn is_of(refused: &RejectedRun, key: &RunKey) -> bool {
-    refused.task == key.0 && refused.run == key.1
+fn is_for(rejected: &RejectedRun, key: &RunKey) -> bool {
+    rejected.task == key.0 && rejected.run == key.1
 }
 
 /// Whether a run is one of those that a look shows.
-pub(crate) fn is_among(present: &[PresentRun], key: &RunKey) -> bool {
+pub(crate) fn is_present(present: &[PresentRun], key: &RunKey) -> bool {
     present.iter().any(|run| run.task == key.0 && run.run == key.1)
 }
 
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -7,24 +7,24 @@
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerMillis;
 use crate::ids::PollNumber;
-use crate::process::node::run_start::ClosedStart;
-use crate::process::node::run_start::DoubtfulStart;
-use crate::process::node::run_start::IdleStart;
-use crate::process::node::run_start::RunStart;
-use crate::process::node::run_start::SentStart;
-use crate::process::node::run_start::StartRefusal;
+use crate::process::node::start_state::IdleStart;
+use crate::process::node::start_state::InDoubtStart;
+use crate::process::node::start_state::InFlightStart;
+use crate::process::node::start_state::ResolvedStart;
+use crate::process::node::start_state::StartRejection;
+use crate::process::node::start_state::StartState;
 
 /// Pause before an order without an answer is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(30);
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 /// Pause before an order that an unwell runner has refused is repeated.
-const UNWELL_PAUSE: Duration = Duration::from_millis(60);
+const UNHEALTHY_RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Time for which an unwell runner is asked again whether a start without an answer has begun. It may get well, and the run is
 /// saved; a stop would end it.
-const UNWELL_LIMIT: Duration = Duration::from_millis(1_000);
+const UNHEALTHY_RETRY_SPAN: Duration = Duration::from_millis(1_000);
 /// How long a start waits for a lease on a new link.
-const LEASE_WAIT: Duration = Duration::from_millis(2_000);
+const MAX_LEASE_WAIT: Duration = Duration::from_millis(2_000);
 /// Pause between two looks whether there is a lease.
-const LEASE_POLL: Duration = Duration::from_millis(15);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 /// What a start depends on besides its own tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,71 +56,75 @@
     arrived: Instant,
     /// When it may be sent again.
     retry_at: Instant,
-    start: RunStart,
+    state: StartState,
 }
 
 impl PendingStart {
     /// A start that came at `now`. Of one that was ordered before, a try of an earlier agent may have no answer.
     pub(super) fn new(is_repeat: bool, now: Instant) -> PendingStart {
-        let start = match is_repeat {
-            true => RunStart::Doubtful(DoubtfulStart::default()),
-            false => RunStart::Idle(IdleStart),
+        let state = match is_repeat {
+            true => StartState::InDoubt(InDoubtStart::default()),
+            false => StartState::Idle(IdleStart),
         };
-        PendingStart { arrived: now, retry_at: now, start }
+        PendingStart { arrived: now, retry_at: now, state }
     }
 
     /// A start that was refused before, when it was ordered for the first time.
-    pub(super) fn refused(reason: RejectReason, newest: PollNumber, now: Instant) -> PendingStart {
-        let start = RunStart::Closed(IdleStart.close(newest, Some(reason)));
-        PendingStart { arrived: now, retry_at: now, start }
+    pub(super) fn rejected(
+        reason: RejectReason,
+        newest_poll: PollNumber,
+        now: Instant,
+    ) -> PendingStart {
+        let state = StartState::Resolved(IdleStart.resolve(newest_poll, Some(reason)));
+        PendingStart { arrived: now, retry_at: now, state }
     }
 
     /// What is known of it, if looks that are sent from now on tell all.
-    pub(super) fn closed(&self) -> Option<ClosedStart> {
-        match self.start {
-            RunStart::Closed(closed) => Some(closed),
+    pub(super) fn resolved(&self) -> Option<ResolvedStart> {
+        match self.state {
+            StartState::Resolved(resolved) => Some(resolved),
             _ => None,
         }
     }
 
     /// Gives it up for a stop, unless a try of it may be carried out.
-    pub(super) fn withdraw(&mut self, newest: PollNumber) {
-        if let RunStart::Idle(idle) = self.start {
-            self.start = RunStart::Closed(idle.close(newest, None));
+    pub(super) fn withdraw(&mut self, newest_poll: PollNumber) {
+        if let StartState::Idle(idle) = self.state {
+            self.state = StartState::Resolved(idle.resolve(newest_poll, None));
         }
     }
 
     /// Takes note that no try of it begins from now on.
-    pub(super) fn rule_out(&mut self, newest: PollNumber) {
-        self.start = RunStart::Closed(self.start.rule_out(newest));
+    pub(super) fn rule_out(&mut self, newest_poll: PollNumber) {
+        self.state = StartState::Resolved(self.state.rule_out(newest_poll));
     }
 
     /// Decides what has to be done next.
     pub(super) fn next_step(
         &mut self,
         conditions: &StartConditions,
-        newest: PollNumber,
+        newest_poll: PollNumber,
         now: Instant,
     ) -> StartStep {
-        match self.start {
-            RunStart::Idle(idle) => match self.idle_refusal(conditions, now) {
+        match self.state {
+            StartState::Idle(idle) => match self.rejection_if_idle(conditions, now) {
                 None => self.send_step(conditions, now),
                 Some(reason) => {
-                    self.start = RunStart::Closed(idle.close(newest, Some(reason)));
+                    self.state = StartState::Resolved(idle.resolve(newest_poll, Some(reason)));
                     StartStep::Finished(Some(reason))
                 }
             },
-            RunStart::Doubtful(doubtful) => {
-                match self.doubtful_refusal(doubtful, conditions, now) {
+            StartState::InDoubt(in_doubt) => {
+                match self.rejection_if_in_doubt(in_doubt, conditions, now) {
                     None => self.send_step(conditions, now),
                     Some(reason) => {
-                        self.start = RunStart::Doubtful(doubtful.give_up(reason));
+                        self.state = StartState::InDoubt(in_doubt.abandon(reason));
                         StartStep::Stop(reason)
                     }
                 }
             }
-            RunStart::Sent(_) => StartStep::Wait(REPEAT_PAUSE),
-            RunStart::Closed(closed) => StartStep::Finished(closed.refusal),
+            StartState::InFlight(_) => StartStep::Wait(RETRY_PAUSE),
+            StartState::Resolved(resolved) => StartStep::Finished(resolved.rejection),
         }
     }
 
@@ -131,34 +135,40 @@
         now: Instant,
     ) -> Option<RunnerMillis> {
         let lease_end = conditions.lease_end?;
-        let sent = match self.start {
-            RunStart::Idle(idle) if self.idle_refusal(conditions, now).is_none() => idle.send(),
-            RunStart::Doubtful(doubtful)
-                if self.doubtful_refusal(doubtful, conditions, now).is_none() =>
+        let in_flight = match self.state {
+            StartState::Idle(idle) if self.rejection_if_idle(conditions, now).is_none() => {
+                idle.send()
+            }
+            StartState::InDoubt(in_doubt)
+                if self.rejection_if_in_doubt(in_doubt, conditions, now).is_none() =>
             {
-                doubtful.send()
+                in_doubt.send()
             }
             _ => return None,
         };
-        self.start = RunStart::Sent(sent);
+        self.state = StartState::InFlight(in_flight);
         Some(lease_end)
     }
 
     /// Why a start that has not begun is not sent.
-    fn idle_refusal(&self, conditions: &StartConditions, now: Instant) -> Option<RejectReason> {
+    fn rejection_if_idle(
+        &self,
+        conditions: &StartConditions,
+        now: Instant,
+    ) -> Option<RejectReason> {
         if conditions.is_draining {
             return Some(RejectReason::Leaving);
         }
         if !conditions.has_room {
             return Some(RejectReason::Room);
         }
-        self.is_without_lease(conditions, now).then_some(RejectReason::Late)
+        self.is_lease_overdue(conditions, now).then_some(RejectReason::Late)
     }
 
     /// Why a start that may have begun is not sent again.
-    fn doubtful_refusal(
+    fn rejection_if_in_doubt(
         &self,
-        doubtful: DoubtfulStart,
+        in_doubt: InDoubtStart,
         conditions: &StartConditions,
         now: Instant,
     ) -> Option<RejectReason> {
@@ -168,64 +178,64 @@
         if !conditions.has_room {
             return Some(RejectReason::Room);
         }
-        let is_final = |refusal: &StartRefusal| {
-            let span = now.saturating_duration_since(refusal.since);
-            refusal.reason != RejectReason::Unwell || span >= UNWELL_LIMIT
+        let is_final = |rejection: &StartRejection| {
+            let span = now.saturating_duration_since(rejection.since);
+            rejection.reason != RejectReason::Unwell || span >= UNHEALTHY_RETRY_SPAN
         };
-        if let Some(refusal) = doubtful.refusal.filter(is_final) {
-            return Some(refusal.reason);
+        if let Some(rejection) = in_doubt.rejection.filter(is_final) {
+            return Some(rejection.reason);
         }
-        self.is_without_lease(conditions, now).then_some(RejectReason::Late)
+        self.is_lease_overdue(conditions, now).then_some(RejectReason::Late)
     }
 
-    fn is_without_lease(&self, conditions: &StartConditions, now: Instant) -> bool {
+    fn is_lease_overdue(&self, conditions: &StartConditions, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.arrived);
-        conditions.lease_end.is_none() && waited > LEASE_WAIT
+        conditions.lease_end.is_none() && waited > MAX_LEASE_WAIT
     }
 
     fn send_step(&self, conditions: &StartConditions, now: Instant) -> StartStep {
         match conditions.lease_end {
             Some(_) if now >= self.retry_at => StartStep::Send,
             Some(_) => StartStep::Wait(self.retry_at.saturating_duration_since(now)),
-            None => StartStep::Wait(LEASE_POLL),
+            None => StartStep::Wait(LEASE_CHECK_INTERVAL),
         }
     }
 
     /// Takes note of what became of a try.
-    pub(super) fn on_answer(
+    pub(super) fn on_response(
         &mut self,
-        answer: &Result<(), RunnerError>,
-        newest: PollNumber,
+        response: &Result<(), RunnerError>,
+        newest_poll: PollNumber,
         now: Instant,
     ) {
-        let RunStart::Sent(sent) = self.start else {
+        let StartState::InFlight(in_flight) = self.state else {
             // A look or a stop has told more meanwhile.
             return;
         };
-        self.start = after_answer(sent, answer, newest, now);
-        let is_unwell =
-            matches!(answer, Err(RunnerError::Rejected { reason: RejectReason::Unwell }));
-        self.retry_at = now + if is_unwell { UNWELL_PAUSE } else { REPEAT_PAUSE };
+        self.state = state_after(in_flight, response, newest_poll, now);
+        let is_unhealthy =
+            matches!(response, Err(RunnerError::Rejected { reason: RejectReason::Unwell }));
+        self.retry_at = now + if is_unhealthy { UNHEALTHY_RETRY_PAUSE } else { RETRY_PAUSE };
     }
 }
 
-fn after_answer(
-    sent: SentStart,
-    answer: &Result<(), RunnerError>,
-    newest: PollNumber,
+fn state_after(
+    in_flight: InFlightStart,
+    response: &Result<(), RunnerError>,
+    newest_poll: PollNumber,
     now: Instant,
-) -> RunStart {
-    match answer {
+) -> StartState {
+    match response {
         // Whether another life has begun the run is told by looks at that life.
         Ok(()) | Err(RunnerError::Fenced | RunnerError::OtherLife) => {
-            RunStart::Closed(sent.close(newest, None))
+            StartState::Resolved(in_flight.resolve(newest_poll, None))
         }
         // This run, or a later one of the task, has been there: neither try begins any more.
         Err(RunnerError::Rejected { reason: RejectReason::Old }) => {
-            RunStart::Closed(sent.close(newest, Some(RejectReason::Old)))
+            StartState::Resolved(in_flight.resolve(newest_poll, Some(RejectReason::Old)))
         }
-        Err(RunnerError::Rejected { reason }) => sent.refuse(*reason, newest, now),
-        Err(RunnerError::NotRunning) => sent.take_back(),
-        Err(RunnerError::NoAnswer { .. }) => RunStart::Doubtful(sent.lose()),
+        Err(RunnerError::Rejected { reason }) => in_flight.reject(*reason, newest_poll, now),
+        Err(RunnerError::NotRunning) => in_flight.on_not_sent(),
+        Err(RunnerError::NoAnswer { .. }) => StartState::InDoubt(in_flight.on_no_response()),
     }
 }
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -21,7 +21,7 @@
         if order.is_repeat {
             self.unsettled.on_sending(&key, now);
         }
-        self.book.accept_start(&key, order.is_repeat, now)
+        self.tracker.accept_start(&key, order.is_repeat, now)
     }
 
     /// Decides what has to be done next about a start.
@@ -36,7 +36,7 @@
             return StartStep::Finished(None);
         }
         let conditions = self.start_conditions(key, room, now);
-        self.book.next_step(key, &conditions, now)
+        self.tracker.next_step(key, &conditions, now)
     }
 
     /// Takes note that a start leaves, as its turn has come and it is still to be sent. Gives the lease that it carries.
@@ -51,7 +51,7 @@
             return None;
         }
         let conditions = self.start_conditions(key, room, now);
-        let lease_end = self.book.begin_attempt(key, &conditions, now)?;
+        let lease_end = self.tracker.begin_attempt(key, &conditions, now)?;
         self.lease.on_sent();
         self.begun.on_sending(key, now);
         self.unsettled.on_sending(key, now);
@@ -69,8 +69,8 @@
         if !self.is_current_target(target) {
             return;
         }
-        self.book.on_start_answer(key, answer, now);
-        let newest = self.book.newest_poll();
+        self.tracker.on_start_answer(key, answer, now);
+        let newest = self.tracker.newest_poll();
         match answer {
             Ok(()) => {
                 self.begun.on_begun(key);
@@ -92,12 +92,12 @@
 
     /// Takes an order to stop a run. Says whether it is new.
     pub fn accept_stop(&mut self, key: &RunKey) -> bool {
-        self.book.accept_stop(key)
+        self.tracker.accept_stop(key)
     }
 
     /// Where a stop that was ordered for a target has to be sent, until the runner has taken it; tokens may have been raised since.
     pub fn stop_target(&self, target: &RunnerTarget, key: &RunKey) -> Option<RunnerTarget> {
-        let is_due = self.is_current_target(target) && self.book.is_stop_due(key);
+        let is_due = self.is_current_target(target) && self.tracker.is_stop_due(key);
         self.target().filter(|_| is_due)
     }
 
@@ -109,7 +109,7 @@
         answer: &Result<(), RunnerError>,
     ) {
         if answer.is_ok() && self.is_current_target(target) {
-            self.book.on_stop_taken(key);
+            self.tracker.on_stop_accepted(key);
         }
     }
 
@@ -119,7 +119,8 @@
         let Some(runner) = self.instances.current() else {
             return false;
         };
-        let others: BTreeSet<&RunKey> = self.present.iter().chain(self.book.starting()).collect();
+        let others: BTreeSet<&RunKey> =
+            self.present.iter().chain(self.tracker.starting()).collect();
         let others = others.into_iter().filter(|other| *other != key);
         let rooms = others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.room);
         let used = rooms.fold(*room, |used, room| used.plus(room));
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -20,10 +20,10 @@
 use crate::ids::InstanceId;
 use crate::ids::PollNumber;
 use crate::process::node::begun_runs::BegunRuns;
-use crate::process::node::order_book::OrderBook;
-use crate::process::node::order_book::has_ended;
-use crate::process::node::order_book::is_among;
 use crate::process::node::order_sequence::OrderSequence;
+use crate::process::node::order_tracker::OrderTracker;
+use crate::process::node::order_tracker::has_ended;
+use crate::process::node::order_tracker::is_present;
 use crate::process::node::registered_runner::HeartbeatEffect;
 use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::runner_instances::RunnerInstances;
@@ -63,7 +63,7 @@
     reported_ends: u64,
     has_changes: bool,
     /// What orders have become that looks do not show yet.
-    pub(super) book: OrderBook,
+    pub(super) tracker: OrderTracker,
     /// Runs that the present life has begun of late.
     pub(super) begun: BegunRuns,
     /// Starts that the next life may carry out as well.
@@ -100,7 +100,7 @@
             present: BTreeSet::new(),
             reported_ends: 0,
             has_changes: false,
-            book: OrderBook::default(),
+            tracker: OrderTracker::default(),
             begun: BegunRuns::default(),
             unsettled: UnsettledStarts::default(),
             traits: HashMap::new(),
@@ -116,7 +116,7 @@
         let is_new = stamp > self.stamp;
         if is_new {
             if stamp.epoch > self.stamp.epoch {
-                self.book.on_new_epoch();
+                self.tracker.on_new_epoch();
             }
             // What the planner knows of orders and ends starts anew with each link.
             self.stamp = stamp;
@@ -140,7 +140,7 @@
 
     /// Takes a heartbeat of the runner.
     pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
-        let effect = self.instances.on_heartbeat(runner, self.book.newest_poll());
+        let effect = self.instances.on_heartbeat(runner, self.tracker.newest_poll());
         self.has_changes |= effect == HeartbeatEffect::Changed;
         effect
     }
@@ -167,10 +167,10 @@
         if is_new {
             self.is_idle = true;
             self.lease = RunnerLease::none(self.lease.answered());
-            self.book.on_expiry();
+            self.tracker.on_expiry();
         }
         if self.is_idle {
-            let number = self.book.next_poll_number();
+            let number = self.tracker.next_poll_number();
             self.show(number, Vec::new(), Vec::new());
         }
         is_new
@@ -178,7 +178,7 @@
 
     /// Takes note that a runner says that it ends. Says whether its present life is over.
     pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
-        let has_left = self.instances.on_deregister(runner, self.book.newest_poll());
+        let has_left = self.instances.on_deregister(runner, self.tracker.newest_poll());
         if has_left {
             self.end_instance(now);
         }
@@ -214,7 +214,7 @@
         self.lease = RunnerLease::none(self.lease.answered());
         self.seen = 0;
         self.first_listed = None;
-        self.book.clear();
+        self.tracker.clear();
         self.begun = BegunRuns::default();
         self.is_proven = false;
         self.is_idle = false;
@@ -273,7 +273,7 @@
     pub fn next_poll(&mut self, wait: Duration, now: Instant) -> (PollNumber, PollRequest) {
         if self.may_be_successor(now) {
             let hold = PollRequest { lease_end: None, seen: 0, wait: Duration::ZERO };
-            return (self.book.next_poll_number(), hold);
+            return (self.tracker.next_poll_number(), hold);
         }
         // A life that does not answer is not kept alive by calls that may be carried out late.
         let lease_end = self.lease.end().filter(|_| !self.lease.is_silent(now));
@@ -284,7 +284,7 @@
         // same numbers.
         let is_listed = self.first_listed.is_some_and(|first| first <= self.seen);
         let seen = if is_listed { self.seen } else { 0 };
-        (self.book.next_poll_number(), PollRequest { lease_end, seen, wait })
+        (self.tracker.next_poll_number(), PollRequest { lease_end, seen, wait })
     }
 
     /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
@@ -320,12 +320,12 @@
 
     /// Makes a look out of what runs and what has ended, for the planner's next call.
     fn show(&mut self, number: PollNumber, mut present: Vec<PresentRun>, ended: Vec<EndedRun>) {
-        self.book.complete(number, &mut present, &ended);
+        self.tracker.reconcile(number, &mut present, &ended);
         self.present = present.iter().map(|run| (run.task.clone(), run.run)).collect();
         self.traits.retain(|task, _| present.iter().any(|run| run.task == *task));
         self.first_listed = ended.first().map(|ended| ended.number);
         let last = ended.last().map_or(0, |ended| ended.number);
-        self.has_changes |= last > self.reported_ends || self.book.has_refusals();
+        self.has_changes |= last > self.reported_ends || self.tracker.has_rejections();
         let (rejected, orders_seen) = (Vec::new(), self.orders.seen());
         self.fresh_snapshot = Some(RunnerSnapshot { present, ended, rejected, orders_seen });
     }
@@ -340,7 +340,7 @@
     pub fn report(&mut self, now: Instant) -> NodeReport {
         let mut snapshot = self.fresh_snapshot.take();
         if let Some(snapshot) = &mut snapshot {
-            snapshot.rejected = self.book.take_refusals();
+            snapshot.rejected = self.tracker.take_rejections();
             let last = snapshot.ended.last().map_or(0, |ended| ended.number);
             self.reported_ends = self.reported_ends.max(last);
         }
@@ -360,5 +360,5 @@
 
 /// Whether a runner shows a run, at work or as an end that was not acknowledged.
 fn is_shown(lists: &PollResponse, key: &RunKey) -> bool {
-    is_among(&lists.running, key) || has_ended(&lists.ended, key)
+    is_present(&lists.running, key) || has_ended(&lists.ended, key)
 }
