--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -103,7 +103,7 @@
         let answer = shared.control.start(&self.target, &self.order, lease_end).await;
         drop(slot);
         self.attempts.record(&shared.metrics, &answer);
-        shared.state().on_start_answer(&self.target, &self.key, &answer, clock::now());
+        shared.state().on_start_response(&self.target, &self.key, &answer, clock::now());
     }
 
     fn log(&self, outcome: &str) {
@@ -152,7 +152,7 @@
     let answer = shared.control.stop(&due, &key.0, key.1).await;
     drop(slot);
     attempts.record(&shared.metrics, &answer);
-    shared.state().on_stop_answer(target, key, &answer);
+    shared.state().on_stop_response(target, key, &answer);
     answer.is_err()
 }
 
--- a/src/process/node/order_tracker.rs
+++ b/src/process/node/order_tracker.rs
@@ -159,9 +159,9 @@
     /// use greengagearch::process::node::order_tracker::OrderTracker;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// OrderTracker::default().on_start_answer(&key, &Ok(()), Instant::now());
+    /// OrderTracker::default().on_start_response(&key, &Ok(()), Instant::now());
     /// ```
-    pub fn on_start_answer(
+    pub fn on_start_response(
         &mut self,
         key: &RunKey,
         response: &Result<(), RunnerError>,
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -59,7 +59,7 @@
     }
 
     /// Takes note of what became of a try, unless the life that it was sent to has ended meanwhile.
-    pub fn on_start_answer(
+    pub fn on_start_response(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
@@ -69,7 +69,7 @@
         if !self.is_current_target(target) {
             return;
         }
-        self.tracker.on_start_answer(key, answer, now);
+        self.tracker.on_start_response(key, answer, now);
         let newest = self.tracker.newest_poll();
         match answer {
             Ok(()) => {
@@ -102,7 +102,7 @@
     }
 
     /// Takes note of what became of a try to stop a run: one that was refused has done nothing.
-    pub fn on_stop_answer(
+    pub fn on_stop_response(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -78,7 +78,7 @@
     let now = clock::now();
     let has_ended = match error {
         RunnerError::OtherLife | RunnerError::NotRunning => state.on_crash(&target.instance, now),
-        RunnerError::NoAnswer { is_broken, .. } => state.on_no_answer(*is_broken, now),
+        RunnerError::NoAnswer { is_broken, .. } => state.on_no_response(*is_broken, now),
         RunnerError::Fenced => {
             state.on_fenced();
             false
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -147,7 +147,7 @@
 
     /// Takes note that the known life does not answer, which says nothing of another one that may have registered. With leases that
     /// have surely expired the life is given up.
-    pub fn on_no_answer(&mut self, is_broken: bool, now: Instant) -> bool {
+    pub fn on_no_response(&mut self, is_broken: bool, now: Instant) -> bool {
         self.silent_since.get_or_insert(now);
         self.is_proven = false;
         if is_broken {
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -72,13 +72,13 @@
         let target = self.target();
         let sent = self.state.begin_attempt(&target, &self.key, &ROOM, self.now);
         assert!(sent.is_some(), "nothing speaks against the start");
-        self.state.on_start_answer(&target, &self.key, &answer, self.now);
+        self.state.on_start_response(&target, &self.key, &answer, self.now);
     }
 
     fn try_stop(&mut self, answer: Result<(), RunnerError>) {
         let target = self.target();
         assert!(self.is_stop_due());
-        self.state.on_stop_answer(&target, &self.key, &answer);
+        self.state.on_stop_response(&target, &self.key, &answer);
     }
 
     fn is_stop_due(&self) -> bool {
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -113,7 +113,7 @@
 /// The last try has an answer, or will have none.
 fn answer(state: &mut NodeState, key: &RunKey, answer: Result<(), RunnerError>, now: Instant) {
     let target = state.target().unwrap();
-    state.on_start_answer(&target, key, &answer, now);
+    state.on_start_response(&target, key, &answer, now);
 }
 
 fn silence() -> Result<(), RunnerError> {
@@ -188,8 +188,8 @@
     state.on_sync(&grant("i-1", 0, 0));
     state.next_poll(Duration::ZERO, now);
     state.on_heartbeat(runner("i-2", 1));
-    assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
-    assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
+    assert!(!state.on_no_response(false, now + Duration::from_secs(9)));
+    assert!(state.on_no_response(false, now + Duration::from_secs(10)));
     assert_eq!(state.target().unwrap().instance, "i-2");
     assert_eq!(state.report(now).former, ["i-1"]);
 }
@@ -237,8 +237,8 @@
     let later = now + Duration::from_secs(3);
     state.on_sync(&grant("i-1", 3, 0));
     assert_eq!(state.next_poll(Duration::ZERO, later).1.lease_end, None);
-    assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
-    assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
+    assert!(!state.on_no_response(false, now + Duration::from_secs(9)));
+    assert!(state.on_no_response(false, now + Duration::from_secs(10)));
     assert!(state.target().is_none());
 }
 
@@ -331,7 +331,7 @@
     send(&mut state, &answered, at(1_900));
     answer(&mut state, &answered, Ok(()), at(1_900));
     send(&mut state, &unanswered, at(1_950));
-    state.on_no_answer(false, at(1_960));
+    state.on_no_response(false, at(1_960));
     answer(&mut state, &unanswered, silence(), at(1_960));
     // The next try finds nobody; the first one may have begun.
     send(&mut state, &unanswered, at(1_990));
@@ -498,7 +498,7 @@
     state.on_sync(&grant("i-1@200", 0, 4));
     let (number, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (4, Some(9_500)));
-    state.on_no_answer(true, now);
+    state.on_no_response(true, now);
     assert_eq!(state.may_start(now), Some(false));
     let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (0, None));
@@ -530,7 +530,7 @@
     let now = Instant::now();
     let mut state = linked(now);
     state.on_heartbeat(runner("i-0", 9));
-    assert!(!state.on_no_answer(false, now));
+    assert!(!state.on_no_response(false, now));
     let (number, _) = state.next_poll(Duration::ZERO, now);
     state.on_poll_response(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -43,7 +43,7 @@
             }
             Event::NoAnswer { run, target, order, is_broken, .. } => {
                 if self.agents[agent].run == run {
-                    self.on_no_answer(agent, target, order, is_broken);
+                    self.on_no_response(agent, target, order, is_broken);
                 }
             }
             _ => self.on_heartbeat(agent),
@@ -299,7 +299,13 @@
         }
     }
 
-    fn on_no_answer(&mut self, agent: usize, target: RunnerTarget, order: Order, is_broken: bool) {
+    fn on_no_response(
+        &mut self,
+        agent: usize,
+        target: RunnerTarget,
+        order: Order,
+        is_broken: bool,
+    ) {
         let now = self.agent_instant(agent);
         let one = &mut self.agents[agent];
         let run = one.run;
@@ -307,7 +313,7 @@
         match order {
             Order::Hold { .. } => {
                 if is_current_target {
-                    one.state.on_no_answer(is_broken, now);
+                    one.state.on_no_response(is_broken, now);
                 }
                 self.at(60, Event::Look { agent, run });
             }
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -98,11 +98,11 @@
         let run = one.run;
         match order {
             Order::Start { tried, .. } => {
-                one.state.on_start_answer(&target, &tried.key, &told, now);
+                one.state.on_start_response(&target, &tried.key, &told, now);
                 self.at(0, Event::Try { agent, run, target, tried });
             }
             Order::Stop { key } => {
-                one.state.on_stop_answer(&target, &key, &told);
+                one.state.on_stop_response(&target, &key, &told);
                 if told.is_err() {
                     let queued = QueuedOrder::Stop(key);
                     self.at(STOP_PAUSE, Event::Slot { agent, run, target, queued });
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -71,7 +71,7 @@
 fn try_start(state: &mut NodeState, answer: Result<(), RunnerError>, now: Instant) {
     let target = state.target().unwrap();
     assert!(state.begin_attempt(&target, &key(), &ROOM, now).is_some());
-    state.on_start_answer(&target, &key(), &answer, now);
+    state.on_start_response(&target, &key(), &answer, now);
 }
 
 /// Guards against a task that runs twice: the planner orders a run twice over one link, and the second order comes when a look has
@@ -183,7 +183,7 @@
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
     assert_eq!(step, StartStep::Stop(RejectReason::Room));
-    state.on_stop_answer(&target, &key(), &Ok(()));
+    state.on_stop_response(&target, &key(), &Ok(()));
 
     look_at(&mut state, vec![begun_run(TASK)], 0, now);
     let told = state.report(now).snapshot.unwrap();
@@ -214,7 +214,7 @@
     assert!(state.on_crash("i-1", now));
     state.on_heartbeat(next_life(264));
     assert!(state.accept_stop(&key()));
-    state.on_stop_answer(&before, &key(), &Ok(()));
+    state.on_stop_response(&before, &key(), &Ok(()));
     let target = state.target().unwrap();
     assert!(state.stop_target(&target, &key()).is_some());
 }
@@ -241,8 +241,8 @@
     state.on_sync(&lease_call(STAMP, Duration::from_secs(14)));
     state.accept_start(&order(false), now);
     try_start(&mut state, silence(), now);
-    assert!(!state.on_no_answer(false, now + Duration::from_secs(12)));
-    assert!(state.on_no_answer(false, now + Duration::from_secs(30)));
+    assert!(!state.on_no_response(false, now + Duration::from_secs(12)));
+    assert!(state.on_no_response(false, now + Duration::from_secs(30)));
 }
 
 /// Guards against a task that runs twice: a repeat that found nobody says nothing of the first try.
