--- a/src/process/node/fence.rs
+++ b/src/process/node/fencing_token.rs
@@ -9,15 +9,15 @@
 use crate::ids::StartMillis;
 
 /// Bits of a token for the lives under one epoch.
-const LIFE_BITS: u32 = 32;
+const INSTANCE_BITS: u32 = 32;
 /// Bits of a start time that are left out, so that lives of two years are told apart: those of one id begin further apart than 16 ms.
-const START_SHIFT: u32 = 4;
+const START_TIME_SHIFT: u32 = 4;
 
 /// The token of calls for a life under an epoch: of two epochs the later has the higher, then of two lives. A life that started
 /// earlier by a clock that was put back may find itself called with a higher one; `raise` takes its own above that.
 ///
 /// ```
-/// use greengagearch::process::node::fence::fencing_token;
+/// use greengagearch::process::node::fencing_token::fencing_token;
 ///
 /// assert!(fencing_token(3, Some(100), 0) < fencing_token(3, Some(200), 0));
 /// assert!(fencing_token(3, Some(200), 0) < fencing_token(3, Some(100), 100));
@@ -26,9 +26,9 @@
 pub fn fencing_token(
     epoch: PlannerEpoch,
     started_at: Option<StartMillis>,
-    raise: u32,
+    increment: u32,
 ) -> FencingToken {
     // The low bits of the start time: lives of more than two years are not told apart.
-    let life = (started_at.unwrap_or(0) >> START_SHIFT) as u32;
-    (epoch << LIFE_BITS) | u64::from(life.saturating_add(raise))
+    let instance = (started_at.unwrap_or(0) >> START_TIME_SHIFT) as u32;
+    (epoch << INSTANCE_BITS) | u64::from(instance.saturating_add(increment))
 }
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -1,7 +1,7 @@
 //! The node agent: the one process that calls the runner on its host, at the planner's orders.
 
 pub mod begun_runs;
-pub mod fence;
+pub mod fencing_token;
 pub mod instance_recorder;
 pub mod order_attempts;
 pub mod order_sender;
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -4,7 +4,7 @@
 
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerTarget;
-use crate::process::node::fence::fencing_token;
+use crate::process::node::fencing_token::fencing_token;
 use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::state::NodeState;
 
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -12,7 +12,7 @@
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::platform::life_name::life_name;
 use greengagearch::platform::runner_client::RunnerClient;
-use greengagearch::process::node::fence::fencing_token;
+use greengagearch::process::node::fencing_token::fencing_token;
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch_standins::platform_journal::RunJournal;
 use greengagearch_standins::platform_runner::PlatformRunner;
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -14,7 +14,7 @@
 use greengagearch::connection::node_protocol::TaskTraits;
 use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::process::node::fence::fencing_token;
+use greengagearch::process::node::fencing_token::fencing_token;
 use greengagearch::process::node::registered_runner::HeartbeatEffect;
 use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
