--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -1,16 +1,16 @@
 //! The node agent: the one process that calls the runner on its host, at the planner's orders.
 
-pub mod begun_runs;
 pub mod fencing_token;
 pub mod instance_recorder;
 pub mod order_attempts;
 pub mod order_sender;
 pub mod order_sequence;
+pub mod order_state;
 pub mod order_tracker;
 pub mod pending_start;
+pub mod recent_starts;
 pub mod registered_runner;
 pub mod rpc;
-pub mod run_orders;
 pub mod runner_instances;
 pub mod runner_lease;
 pub mod runner_poller;
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/order_state.rs
@@ -53,7 +53,7 @@
         let conditions = self.start_conditions(key, room, now);
         let lease_end = self.tracker.begin_attempt(key, &conditions, now)?;
         self.lease.on_sent();
-        self.begun.on_sending(key, now);
+        self.recent_starts.on_sending(key, now);
         self.unsettled.on_sending(key, now);
         Some(lease_end)
     }
@@ -73,19 +73,19 @@
         let newest = self.tracker.newest_poll();
         match answer {
             Ok(()) => {
-                self.begun.on_begun(key);
-                self.unsettled.on_answer(key, newest);
+                self.recent_starts.on_started(key);
+                self.unsettled.on_response(key, newest);
             }
             Err(RunnerError::NoAnswer { .. }) => {}
             Err(RunnerError::NotRunning) => {
-                self.begun.on_not_begun(key);
+                self.recent_starts.on_not_started(key);
                 self.unsettled.on_not_sent(key);
             }
             // Another life may have carried it out, which leaves it as one without an answer.
-            Err(RunnerError::OtherLife) => self.begun.on_not_begun(key),
+            Err(RunnerError::OtherLife) => self.recent_starts.on_not_started(key),
             Err(RunnerError::Fenced | RunnerError::Rejected { .. }) => {
-                self.begun.on_not_begun(key);
-                self.unsettled.on_answer(key, newest);
+                self.recent_starts.on_not_started(key);
+                self.unsettled.on_response(key, newest);
             }
         }
     }
--- /dev/null
+++ b/src/process/node/recent_starts.rs
@@ -0,0 +1,120 @@
+//! Which runs the runner has begun of late, so that it can be told which of them were young when its life broke off.
+
+use std::collections::HashMap;
+use std::time::Instant;
+
+use crate::connection::node_protocol::PresentRun;
+use crate::connection::node_protocol::YOUNG_SPAN;
+use crate::connection::node_protocol::YoungRun;
+use crate::workflow::worker_board::RunKey;
+
+/// Young runs that are told of one crash at most, so that a report stays small.
+const MAX_YOUNG_REPORTED: usize = 24;
+
+#[derive(Clone, Copy, Debug)]
+struct RecentStart {
+    sent_at: Instant,
+    /// When it was sent before, without an answer.
+    previous_sent_at: Option<Instant>,
+    is_certain: bool,
+}
+
+/// The newest starts on one life of the runner.
+#[derive(Debug, Default)]
+pub struct RecentStarts {
+    starts: HashMap<RunKey, RecentStart>,
+}
+
+impl RecentStarts {
+    /// Takes note of a start that is about to be sent, also when it is sent again.
+    ///
+    /// ```
+    /// use std::time::Instant;
+    ///
+    /// use greengagearch::process::node::recent_starts::RecentStarts;
+    ///
+    /// RecentStarts::default().on_sending(&("a.0.0.0".parse().unwrap(), 1), Instant::now());
+    /// ```
+    pub fn on_sending(&mut self, key: &RunKey, now: Instant) {
+        let known = self.starts.get(key);
+        let is_certain = known.is_some_and(|start| start.is_certain);
+        let previous_sent_at = known.map(|start| start.sent_at);
+        self.starts.insert(key.clone(), RecentStart { sent_at: now, previous_sent_at, is_certain });
+    }
+
+    /// Takes note that the runner has begun a run.
+    ///
+    /// ```
+    /// use greengagearch::process::node::recent_starts::RecentStarts;
+    ///
+    /// RecentStarts::default().on_started(&("a.0.0.0".parse().unwrap(), 1));
+    /// ```
+    pub fn on_started(&mut self, key: &RunKey) {
+        if let Some(start) = self.starts.get_mut(key) {
+            start.is_certain = true;
+        }
+    }
+
+    /// Takes note that a start was refused, or never left. One that was sent before without an answer may have begun all the
+    /// same: a program that crashes its runner at once leaves no answer, and nobody to take the next try.
+    ///
+    /// ```
+    /// use greengagearch::process::node::recent_starts::RecentStarts;
+    ///
+    /// RecentStarts::default().on_not_started(&("a.0.0.0".parse().unwrap(), 1));
+    /// ```
+    pub fn on_not_started(&mut self, key: &RunKey) {
+        match self.starts.get_mut(key) {
+            Some(RecentStart { sent_at, previous_sent_at: Some(before), .. }) => *sent_at = *before,
+            _ => {
+                self.starts.remove(key);
+            }
+        }
+    }
+
+    /// Takes in what the runner shows, and forgets runs that are no longer young.
+    ///
+    /// ```
+    /// use std::time::Instant;
+    ///
+    /// greengagearch::process::node::recent_starts::RecentStarts::default().on_poll(&[], Instant::now());
+    /// ```
+    pub fn on_poll(&mut self, running: &[PresentRun], now: Instant) {
+        for run in running {
+            self.on_started(&(run.task.clone(), run.run));
+        }
+        self.starts.retain(|_, start| now.saturating_duration_since(start.sent_at) <= YOUNG_SPAN);
+    }
+
+    /// What was young when the life broke off, the youngest first: the life answered last at `answered`, and broke off
+    /// before `crashed`, so that what was sent_at later cannot have start.
+    ///
+    /// ```
+    /// use std::time::Duration;
+    /// use std::time::Instant;
+    ///
+    /// use greengagearch::process::node::recent_starts::RecentStarts;
+    ///
+    /// let now = Instant::now();
+    /// let mut starts = RecentStarts::default();
+    /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
+    /// let young = starts.young_runs_at(now, now + Duration::from_millis(10));
+    /// assert_eq!(young[0].age, Duration::from_millis(10));
+    /// ```
+    pub fn young_runs_at(&self, last_response: Instant, crashed: Instant) -> Vec<YoungRun> {
+        let mut young = Vec::new();
+        for ((task, run), start) in &self.starts {
+            let lived = last_response.saturating_duration_since(start.sent_at);
+            let Some(age) = crashed.checked_duration_since(start.sent_at) else {
+                continue;
+            };
+            if lived <= YOUNG_SPAN {
+                let (task, run, is_certain) = (task.clone(), *run, start.is_certain);
+                young.push(YoungRun { task, run, age, lived, is_certain });
+            }
+        }
+        young.sort_by(|one, other| (one.age, &one.task).cmp(&(other.age, &other.task)));
+        young.truncate(MAX_YOUNG_REPORTED);
+        young
+    }
+}
--- a/src/process/node/runner_lease.rs
+++ b/src/process/node/runner_lease.rs
@@ -8,14 +8,14 @@
 use crate::workflow::grant::surely_expired;
 
 /// A start is not tried with less than this left of the lease.
-const LEAST_LEASE: Duration = Duration::from_millis(150);
+const MIN_START_LEASE: Duration = Duration::from_millis(150);
 /// A runner that has not answered for so long gets no longer leases.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// What the planner has granted, what was sent to the runner, and when it answered last.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerLease {
-    answered: Instant,
+    last_response: Instant,
     granted_until: Option<Instant>,
     sent_until: Option<Instant>,
     /// When leases that others have sent end at the latest: an earlier agent, or calls that were meant for a former life.
@@ -36,7 +36,7 @@
     /// ```
     pub fn none(now: Instant) -> RunnerLease {
         RunnerLease {
-            answered: now,
+            last_response: now,
             granted_until: None,
             sent_until: None,
             inherited_until: now + LONGEST_LEASE,
@@ -52,10 +52,10 @@
     /// use greengagearch::process::node::runner_lease::RunnerLease;
     ///
     /// let now = Instant::now();
-    /// assert_eq!(RunnerLease::none(now).answered(), now);
+    /// assert_eq!(RunnerLease::none(now).last_response(), now);
     /// ```
-    pub fn answered(&self) -> Instant {
-        self.answered
+    pub fn last_response(&self) -> Instant {
+        self.last_response
     }
 
     /// Takes note of an answer with the runner's clock.
@@ -68,13 +68,13 @@
     ///
     /// let now = Instant::now();
     /// let mut lease = RunnerLease::none(now);
-    /// lease.on_answer(500, now);
+    /// lease.on_response(500, now);
     /// lease.grant(now + Duration::from_secs(9));
     /// assert_eq!(lease.end(), Some(9_500));
     /// ```
-    pub fn on_answer(&mut self, clock: RunnerMillis, now: Instant) {
+    pub fn on_response(&mut self, clock: RunnerMillis, now: Instant) {
         self.clock = Some((clock, now));
-        self.answered = now;
+        self.last_response = now;
     }
 
     /// Extends the lease as the planner allows.
@@ -126,10 +126,10 @@
     /// use greengagearch::process::node::runner_lease::RunnerLease;
     ///
     /// let now = Instant::now();
-    /// assert!(RunnerLease::none(now).is_silent(now + Duration::from_secs(2)));
+    /// assert!(RunnerLease::none(now).is_unresponsive(now + Duration::from_secs(2)));
     /// ```
-    pub fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.answered) > SILENCE_LIMIT
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_response) > UNRESPONSIVE_AFTER
     }
 
     /// Whether enough is left for a start; nothing while no lease is known.
@@ -140,11 +140,11 @@
     /// use greengagearch::process::node::runner_lease::RunnerLease;
     ///
     /// let now = Instant::now();
-    /// assert_eq!(RunnerLease::none(now).has_enough(now), None);
+    /// assert_eq!(RunnerLease::none(now).is_long_enough_for_start(now), None);
     /// ```
-    pub fn has_enough(&self, now: Instant) -> Option<bool> {
+    pub fn is_long_enough_for_start(&self, now: Instant) -> Option<bool> {
         self.end()?;
-        self.granted_until.map(|until| now + LEAST_LEASE < until && !self.is_silent(now))
+        self.granted_until.map(|until| now + MIN_START_LEASE < until && !self.is_unresponsive(now))
     }
 
     /// Whether everything that was sent to a silent runner has surely expired.
@@ -155,10 +155,10 @@
     /// use greengagearch::process::node::runner_lease::RunnerLease;
     ///
     /// let now = Instant::now();
-    /// assert!(!RunnerLease::none(now).has_expired(now), "nothing was sent");
+    /// assert!(!RunnerLease::none(now).has_sent_lease_expired(now), "nothing was sent");
     /// ```
-    pub fn has_expired(&self, now: Instant) -> bool {
-        self.sent_until.is_some_and(|until| self.is_over(until, now))
+    pub fn has_sent_lease_expired(&self, now: Instant) -> bool {
+        self.sent_until.is_some_and(|until| self.has_passed(until, now))
     }
 
     /// The same for what others may have sent as well.
@@ -170,17 +170,17 @@
     /// use greengagearch::process::node::runner_lease::RunnerLease;
     ///
     /// let now = Instant::now();
-    /// assert!(!RunnerLease::none(now).have_all_expired(now + Duration::from_secs(9)));
-    /// assert!(RunnerLease::none(now).have_all_expired(now + Duration::from_secs(11)));
+    /// assert!(!RunnerLease::none(now).have_all_leases_expired(now + Duration::from_secs(9)));
+    /// assert!(RunnerLease::none(now).have_all_leases_expired(now + Duration::from_secs(11)));
     /// ```
-    pub fn have_all_expired(&self, now: Instant) -> bool {
+    pub fn have_all_leases_expired(&self, now: Instant) -> bool {
         let until =
             self.sent_until.map_or(self.inherited_until, |sent| sent.max(self.inherited_until));
-        self.is_over(until, now)
+        self.has_passed(until, now)
     }
 
-    fn is_over(&self, until: Instant, now: Instant) -> bool {
-        let left = until.saturating_duration_since(self.answered);
-        now >= surely_expired(self.answered, left) && self.is_silent(now)
+    fn has_passed(&self, until: Instant, now: Instant) -> bool {
+        let left = until.saturating_duration_since(self.last_response);
+        now >= surely_expired(self.last_response, left) && self.is_unresponsive(now)
     }
 }
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -35,10 +35,10 @@
         match answer {
             Ok(()) | Err(RunnerError::OtherLife | RunnerError::Fenced) => return,
             Err(RunnerError::Rejected { .. } | RunnerError::NoAnswer { .. }) => {}
-            Err(RunnerError::NotRunning) => self.unsettled.on_nobody(now),
+            Err(RunnerError::NotRunning) => self.unsettled.on_successor_absent(now),
         }
         if self.instances.on_successor_unanswered(now) {
-            self.unsettled.give_up();
+            self.unsettled.stop_waiting();
         }
     }
 
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -19,11 +19,11 @@
 use crate::ids::FencingToken;
 use crate::ids::InstanceId;
 use crate::ids::PollNumber;
-use crate::process::node::begun_runs::BegunRuns;
 use crate::process::node::order_sequence::OrderSequence;
 use crate::process::node::order_tracker::OrderTracker;
 use crate::process::node::order_tracker::has_ended;
 use crate::process::node::order_tracker::is_present;
+use crate::process::node::recent_starts::RecentStarts;
 use crate::process::node::registered_runner::HeartbeatEffect;
 use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::runner_instances::RunnerInstances;
@@ -65,7 +65,7 @@
     /// What orders have become that looks do not show yet.
     pub(super) tracker: OrderTracker,
     /// Runs that the present life has begun of late.
-    pub(super) begun: BegunRuns,
+    pub(super) recent_starts: RecentStarts,
     /// Starts that the next life may carry out as well.
     pub(super) unsettled: UnsettledStarts,
     /// What is known of tasks.
@@ -101,7 +101,7 @@
             reported_ends: 0,
             has_changes: false,
             tracker: OrderTracker::default(),
-            begun: BegunRuns::default(),
+            recent_starts: RecentStarts::default(),
             unsettled: UnsettledStarts::default(),
             traits: HashMap::new(),
             pace: PaceControl::default(),
@@ -151,9 +151,9 @@
         self.silent_since.get_or_insert(now);
         self.is_proven = false;
         if is_broken {
-            self.unsettled.on_broken_look();
+            self.unsettled.on_broken_poll();
         }
-        let has_expired = self.lease.has_expired(now);
+        let has_expired = self.lease.has_sent_lease_expired(now);
         if has_expired {
             self.end_instance(now);
         }
@@ -163,10 +163,10 @@
     /// Takes note that the present life refuses a look: it is there, and its leases are not extended. Once those that it has have surely
     /// expired, it runs nothing until it takes another one. Says whether that is new.
     pub fn on_rejected_poll(&mut self, now: Instant) -> bool {
-        let is_new = !self.is_idle && self.lease.have_all_expired(now);
+        let is_new = !self.is_idle && self.lease.have_all_leases_expired(now);
         if is_new {
             self.is_idle = true;
-            self.lease = RunnerLease::none(self.lease.answered());
+            self.lease = RunnerLease::none(self.lease.last_response());
             self.tracker.on_expiry();
         }
         if self.is_idle {
@@ -190,7 +190,7 @@
         let is_present = self.current_instance().is_some_and(|life| life == instance);
         if is_present {
             let crashed = self.silent_since.unwrap_or(now);
-            let young = self.begun.young_at(self.lease.answered(), crashed);
+            let young = self.recent_starts.young_runs_at(self.lease.last_response(), crashed);
             self.instances.record_crash(young, now);
             self.end_instance(now);
         }
@@ -211,11 +211,11 @@
             self.unsettled.discard_instance();
         }
         self.instances.end_current(now);
-        self.lease = RunnerLease::none(self.lease.answered());
+        self.lease = RunnerLease::none(self.lease.last_response());
         self.seen = 0;
         self.first_listed = None;
         self.tracker.clear();
-        self.begun = BegunRuns::default();
+        self.recent_starts = RecentStarts::default();
         self.is_proven = false;
         self.is_idle = false;
         self.fence_raise = 0;
@@ -260,7 +260,7 @@
 
     /// Whether a start may be tried at `now`: nothing while no lease is known, else whether enough is left.
     pub fn may_start(&self, now: Instant) -> Option<bool> {
-        Some(self.lease.has_enough(now)? && !self.may_be_successor(now))
+        Some(self.lease.is_long_enough_for_start(now)? && !self.may_be_successor(now))
     }
 
     /// Takes note of orders that came, all of which are known here by now. They count as seen when those
@@ -276,7 +276,7 @@
             return (self.tracker.next_poll_number(), hold);
         }
         // A life that does not answer is not kept alive by calls that may be carried out late.
-        let lease_end = self.lease.end().filter(|_| !self.lease.is_silent(now));
+        let lease_end = self.lease.end().filter(|_| !self.lease.is_unresponsive(now));
         if lease_end.is_some() {
             self.lease.on_sent();
         }
@@ -290,7 +290,7 @@
     /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
     /// by the numbers of other ones.
     fn may_be_successor(&self, now: Instant) -> bool {
-        let is_old = now.saturating_duration_since(self.lease.answered()) > PROOF_SPAN;
+        let is_old = now.saturating_duration_since(self.lease.last_response()) > PROOF_SPAN;
         self.instances.may_have_successor() && (!self.is_proven || is_old)
     }
 
@@ -301,13 +301,13 @@
         lists: PollResponse,
         now: Instant,
     ) -> bool {
-        self.lease.on_answer(lists.clock, now);
+        self.lease.on_response(lists.clock, now);
         self.is_proven = true;
         self.is_idle = false;
         self.silent_since = None;
-        self.has_changes |= self.unsettled.on_look(number, |key| is_shown(&lists, key), now);
+        self.has_changes |= self.unsettled.on_poll(number, |key| is_shown(&lists, key), now);
         self.has_changes |= self.instances.on_poll_response(number);
-        self.begun.on_look(&lists.running, now);
+        self.recent_starts.on_poll(&lists.running, now);
         let mut present = lists.running;
         for run in &mut present {
             let key = (run.task.clone(), run.run);
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -12,35 +12,35 @@
 use crate::workflow::worker_board::RunKey;
 
 /// Time for which a start that has no answer may still be carried out.
-const LATE_SPAN: Duration = Duration::from_secs(12);
+const LATE_DELIVERY_SPAN: Duration = Duration::from_secs(12);
 /// Longest wait for the next life: a runner that stays away must not keep its tasks from others.
-const RETURN_SPAN: Duration = Duration::from_secs(5);
+const MAX_SUCCESSOR_WAIT: Duration = Duration::from_secs(5);
 
 /// The tries to start one run.
 #[derive(Clone, Copy, Debug, Default)]
-struct SentTries {
+struct StartAttempts {
     /// The newest try before the last one that has no answer.
     unanswered: Option<Instant>,
     /// The last try, while it has no answer.
     last: Option<Instant>,
     /// The newest look when an answer came, until the life has answered a later one.
-    answered_at: Option<PollNumber>,
+    answered_after: Option<PollNumber>,
 }
 
-impl SentTries {
+impl StartAttempts {
     fn is_unsettled(&self, now: Instant) -> bool {
-        let may_come = |sent: Instant| now.saturating_duration_since(sent) < LATE_SPAN;
+        let may_come = |sent: Instant| now.saturating_duration_since(sent) < LATE_DELIVERY_SPAN;
         let is_late = self.unanswered.max(self.last).is_some_and(may_come);
-        is_late || self.answered_at.is_some()
+        is_late || self.answered_after.is_some()
     }
 }
 
 /// Starts that were sent to the present life of the runner, and those of former lives that are unsettled.
 #[derive(Debug, Default)]
 pub struct UnsettledStarts {
-    sent: HashMap<RunKey, SentTries>,
+    sent: HashMap<RunKey, StartAttempts>,
     /// Starts of former lives, with the time up to which they wait for the next one.
-    left: HashMap<RunKey, Instant>,
+    inherited: HashMap<RunKey, Instant>,
 }
 
 impl UnsettledStarts {
@@ -68,12 +68,12 @@
     /// ```
     /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
     ///
-    /// UnsettledStarts::default().on_answer(&("a.0.0.0".parse().unwrap(), 1), 3);
+    /// UnsettledStarts::default().on_response(&("a.0.0.0".parse().unwrap(), 1), 3);
     /// ```
-    pub fn on_answer(&mut self, key: &RunKey, newest: PollNumber) {
+    pub fn on_response(&mut self, key: &RunKey, newest_poll: PollNumber) {
         if let Some(start) = self.sent.get_mut(key) {
             start.last = None;
-            start.answered_at = Some(newest);
+            start.answered_after = Some(newest_poll);
         }
     }
 
@@ -103,32 +103,32 @@
     /// let mut starts = UnsettledStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
     /// starts.end_instance(now);
-    /// assert!(starts.on_look(1, |_| false, now));
+    /// assert!(starts.on_poll(1, |_| false, now));
     /// assert!(starts.keys().is_empty());
     /// ```
-    pub fn on_look(
+    pub fn on_poll(
         &mut self,
         number: PollNumber,
-        is_shown: impl Fn(&RunKey) -> bool,
+        is_listed: impl Fn(&RunKey) -> bool,
         now: Instant,
     ) -> bool {
         for start in self.sent.values_mut() {
-            start.answered_at.take_if(|newest| number > *newest);
+            start.answered_after.take_if(|newest_poll| number > *newest_poll);
         }
         self.sent.retain(|_, start| start.is_unsettled(now));
-        let before = self.left.len();
-        self.left.retain(|key, _| is_shown(key));
-        self.left.len() < before
+        let before = self.inherited.len();
+        self.inherited.retain(|key, _| is_listed(key));
+        self.inherited.len() < before
     }
 
     /// Takes note that the connection of a look broke as the present life ended: answers that came before were its own.
     ///
     /// ```
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().on_broken_look();
+    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().on_broken_poll();
     /// ```
-    pub fn on_broken_look(&mut self) {
+    pub fn on_broken_poll(&mut self) {
         for start in self.sent.values_mut() {
-            start.answered_at = None;
+            start.answered_after = None;
         }
     }
 
@@ -141,7 +141,7 @@
     /// ```
     pub fn end_instance(&mut self, now: Instant) {
         let sent = self.sent.drain().filter(|(_, start)| start.is_unsettled(now));
-        self.left.extend(sent.map(|(key, _)| (key, now + RETURN_SPAN)));
+        self.inherited.extend(sent.map(|(key, _)| (key, now + MAX_SUCCESSOR_WAIT)));
     }
 
     /// Forgets what was sent to the present life, which has ended; none follows under its id.
@@ -166,22 +166,22 @@
     /// let mut starts = UnsettledStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
     /// starts.end_instance(now);
-    /// starts.on_nobody(now + Duration::from_secs(1));
+    /// starts.on_successor_absent(now + Duration::from_secs(1));
     /// assert_eq!(starts.keys().len(), 1);
-    /// starts.on_nobody(now + Duration::from_secs(60));
+    /// starts.on_successor_absent(now + Duration::from_secs(60));
     /// assert!(starts.keys().is_empty());
     /// ```
-    pub fn on_nobody(&mut self, now: Instant) {
-        self.left.retain(|_, until| now < *until);
+    pub fn on_successor_absent(&mut self, now: Instant) {
+        self.inherited.retain(|_, until| now < *until);
     }
 
     /// Takes note that the next life is looked for no longer.
     ///
     /// ```
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().give_up();
+    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().stop_waiting();
     /// ```
-    pub fn give_up(&mut self) {
-        self.left.clear();
+    pub fn stop_waiting(&mut self) {
+        self.inherited.clear();
     }
 
     /// Runs given to former lives that must not start elsewhere yet.
@@ -192,6 +192,6 @@
     /// assert!(UnsettledStarts::default().keys().is_empty());
     /// ```
     pub fn keys(&self) -> Vec<RunKey> {
-        self.left.keys().cloned().collect()
+        self.inherited.keys().cloned().collect()
     }
 }
