--- a/src/process/node/instance_recorder.rs
+++ b/src/process/node/instance_recorder.rs
@@ -24,7 +24,7 @@
 use crate::process::planning::rows::encode;
 
 /// Lives that are kept: more than end while one planner waits for leases.
-const KEPT_LIVES: usize = 8;
+const MAX_STORED_INSTANCES: usize = 8;
 /// Pause before the store is asked again; a life that is not stored only costs its work the wait for leases.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
@@ -47,7 +47,7 @@
     }
 
     async fn run(mut self) {
-        self.read_until_known().await;
+        self.read_with_retry().await;
         let newest = self.instances.last().map_or("", String::as_str);
         log_event(
             Level::Info,
@@ -63,7 +63,7 @@
         }
     }
 
-    async fn read_until_known(&mut self) {
+    async fn read_with_retry(&mut self) {
         loop {
             match self.store.get(&self.name).await {
                 Ok(row) => return self.adopt(row.as_ref()),
@@ -89,7 +89,7 @@
     async fn add(&mut self, life: InstanceId) {
         let mut lives = self.instances.clone();
         lives.push(life);
-        let surplus = lives.len().saturating_sub(KEPT_LIVES);
+        let surplus = lives.len().saturating_sub(MAX_STORED_INSTANCES);
         lives.drain(..surplus);
         let row = LifeRow { lives };
         let transaction = RowTransaction {
@@ -102,7 +102,7 @@
             Err(RowError::Conflict { rows }) => self.adopt(rows.first()),
             Err(error) => {
                 self.pause_after(&error).await;
-                self.read_until_known().await;
+                self.read_with_retry().await;
             }
         }
     }
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -45,7 +45,7 @@
 use crate::process::stop_signal::StopSignal;
 
 /// Time for answers that are under way at a stop.
-const LAST_ANSWER: Duration = Duration::from_millis(150);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(150);
 
 /// The addresses on which a node agent listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,16 +88,17 @@
         }
         rpc::spawn_node_rpc(internal, shared.clone());
         runner_poller::spawn_runner_poller(shared.clone());
-        let reached_at = settings.internal_advertise.unwrap_or(addresses.internal).to_string();
-        InstanceRecorder::spawn(shared.clone(), store.clone(), &reached_at);
+        let advertised_address =
+            settings.internal_advertise.unwrap_or(addresses.internal).to_string();
+        InstanceRecorder::spawn(shared.clone(), store.clone(), &advertised_address);
         let router = runner_registry::router(shared);
         spawn_http_server(registry, router, HttpLimits::default(), stop.clone());
-        tokio::spawn(register(store, NODE_TABLE, settings.id, reached_at));
+        tokio::spawn(register(store, NODE_TABLE, settings.id, advertised_address));
         let running = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[]);
             // The runner goes on under its leases; the next agent here finds what runs.
-            tokio::time::sleep(LAST_ANSWER).await;
+            tokio::time::sleep(SHUTDOWN_GRACE).await;
             log_event(Level::Info, "stopped", &[]);
         });
         Ok(NodeProcess { addresses, running })
--- a/src/process/node/order_attempts.rs
+++ b/src/process/node/order_attempts.rs
@@ -9,7 +9,7 @@
 use crate::workflow::worker_board::RunKey;
 
 /// The first attempts of an order are all logged; after them each power of two.
-const FIRST_TRIES: u32 = 3;
+const FULLY_LOGGED_ATTEMPTS: u32 = 3;
 
 /// What is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,15 +81,15 @@
     /// assert_eq!(attempts.outcome(), "done");
     /// assert!(metrics.render().contains("gga_order_tries{order=\"stop\",outcome=\"done\"} 1"));
     /// ```
-    pub fn record(&mut self, metrics: &ProcessMetrics, answer: &Result<(), RunnerError>) {
+    pub fn record(&mut self, metrics: &ProcessMetrics, response: &Result<(), RunnerError>) {
         self.attempts += 1;
-        self.outcome = answer.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
-        let labels = [self.order.label(), answer_label(answer)];
+        self.outcome = response.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
+        let labels = [self.order.label(), outcome_label(response)];
         metrics.order_tries.with_label_values(&labels).inc();
-        if answer.is_err() && is_logged(self.attempts) {
-            self.log_try();
+        if response.is_err() && is_logged(self.attempts) {
+            self.log_attempt();
         }
-        if matches!(answer, Err(RunnerError::NoAnswer { .. })) {
+        if matches!(response, Err(RunnerError::NoAnswer { .. })) {
             self.unanswered += 1;
         }
     }
@@ -133,7 +133,7 @@
         &self.outcome
     }
 
-    fn log_try(&self) {
+    fn log_attempt(&self) {
         log_event(
             Level::Info,
             self.order.event(),
@@ -150,11 +150,11 @@
 }
 
 fn is_logged(number: u32) -> bool {
-    number <= FIRST_TRIES || number.is_power_of_two()
+    number <= FULLY_LOGGED_ATTEMPTS || number.is_power_of_two()
 }
 
-fn answer_label(answer: &Result<(), RunnerError>) -> &'static str {
-    match answer {
+fn outcome_label(response: &Result<(), RunnerError>) -> &'static str {
+    match response {
         Ok(()) => "done",
         Err(RunnerError::NoAnswer { .. }) => "no_answer",
         Err(RunnerError::Rejected { .. }) => "refused",
--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -18,8 +18,8 @@
 use crate::workflow::worker_board::RunKey;
 
 /// Pause before a stop that the runner has not taken is sent again; it doubles up to the longest.
-const STOP_PAUSE: Duration = Duration::from_millis(30);
-const LONGEST_STOP_PAUSE: Duration = Duration::from_millis(480);
+const MIN_STOP_RETRY_PAUSE: Duration = Duration::from_millis(30);
+const MAX_STOP_RETRY_PAUSE: Duration = Duration::from_millis(480);
 
 /// Takes orders for the present life of the runner; orders for another life are only counted, since the
 /// next report names the present one.
@@ -27,8 +27,8 @@
     let target = shared.state().target().filter(|target| target.instance == call.instance);
     for order in call.orders {
         match (&target, order) {
-            (Some(target), NodeOrder::Start(order)) => take_start(shared, target, order),
-            (Some(target), NodeOrder::Stop(task, run)) => take_stop(shared, target, (task, run)),
+            (Some(target), NodeOrder::Start(order)) => accept_start(shared, target, order),
+            (Some(target), NodeOrder::Stop(task, run)) => accept_stop(shared, target, (task, run)),
             (Some(_), NodeOrder::Describe(traits)) => {
                 shared.state().traits.insert(traits.task.clone(), traits);
             }
@@ -38,7 +38,7 @@
     shared.state().on_orders(call.previous, call.number);
 }
 
-fn take_start(shared: &Arc<NodeShared>, target: &RunnerTarget, order: StartOrder) {
+fn accept_start(shared: &Arc<NodeShared>, target: &RunnerTarget, order: StartOrder) {
     if !shared.state().accept_start(&order, clock::now()) {
         return;
     }
@@ -48,7 +48,7 @@
     tokio::spawn(StartSender { shared, target, order, key, attempts }.run());
 }
 
-fn take_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
+fn accept_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
     if shared.state().accept_stop(&key) {
         spawn_stop(shared, target, key);
     }
@@ -100,10 +100,10 @@
         let Some(lease_end) = lease_end else {
             return;
         };
-        let answer = shared.control.start(&self.target, &self.order, lease_end).await;
+        let response = shared.control.start(&self.target, &self.order, lease_end).await;
         drop(slot);
-        self.attempts.record(&shared.metrics, &answer);
-        shared.state().on_start_response(&self.target, &self.key, &answer, clock::now());
+        self.attempts.record(&shared.metrics, &response);
+        shared.state().on_start_response(&self.target, &self.key, &response, clock::now());
     }
 
     fn log(&self, outcome: &str) {
@@ -128,10 +128,10 @@
     let (shared, target) = (shared.clone(), target.clone());
     tokio::spawn(async move {
         let mut attempts = OrderAttempts::new(OrderKind::Stop, &key, target.epoch);
-        let mut pause = STOP_PAUSE;
+        let mut pause = MIN_STOP_RETRY_PAUSE;
         while try_stop(&shared, &target, &key, &mut attempts).await {
             tokio::time::sleep(pause).await;
-            pause = LONGEST_STOP_PAUSE.min(pause * 2);
+            pause = MAX_STOP_RETRY_PAUSE.min(pause * 2);
         }
         log_stop(&target, &key, &attempts);
     });
@@ -149,11 +149,11 @@
     let Some(due) = due else {
         return false;
     };
-    let answer = shared.control.stop(&due, &key.0, key.1).await;
+    let response = shared.control.stop(&due, &key.0, key.1).await;
     drop(slot);
-    attempts.record(&shared.metrics, &answer);
-    shared.state().on_stop_response(target, key, &answer);
-    answer.is_err()
+    attempts.record(&shared.metrics, &response);
+    shared.state().on_stop_response(target, key, &response);
+    response.is_err()
 }
 
 fn log_stop(target: &RunnerTarget, key: &RunKey, attempts: &OrderAttempts) {
--- a/src/process/node/order_state.rs
+++ b/src/process/node/order_state.rs
@@ -63,18 +63,18 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        answer: &Result<(), RunnerError>,
+        response: &Result<(), RunnerError>,
         now: Instant,
     ) {
         if !self.is_current_target(target) {
             return;
         }
-        self.tracker.on_start_response(key, answer, now);
-        let newest = self.tracker.newest_poll();
-        match answer {
+        self.tracker.on_start_response(key, response, now);
+        let newest_poll = self.tracker.newest_poll();
+        match response {
             Ok(()) => {
                 self.recent_starts.on_started(key);
-                self.unsettled.on_response(key, newest);
+                self.unsettled.on_response(key, newest_poll);
             }
             Err(RunnerError::NoAnswer { .. }) => {}
             Err(RunnerError::NotRunning) => {
@@ -85,7 +85,7 @@
             Err(RunnerError::OtherLife) => self.recent_starts.on_not_started(key),
             Err(RunnerError::Fenced | RunnerError::Rejected { .. }) => {
                 self.recent_starts.on_not_started(key);
-                self.unsettled.on_response(key, newest);
+                self.unsettled.on_response(key, newest_poll);
             }
         }
     }
@@ -106,9 +106,9 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        answer: &Result<(), RunnerError>,
+        response: &Result<(), RunnerError>,
     ) {
-        if answer.is_ok() && self.is_current_target(target) {
+        if response.is_ok() && self.is_current_target(target) {
             self.tracker.on_stop_accepted(key);
         }
     }
--- a/src/process/node/rpc.rs
+++ b/src/process/node/rpc.rs
@@ -45,7 +45,7 @@
                     "planner_link",
                     &[("epoch", &stamp.epoch), ("link", &stamp.link)],
                 );
-                self.shared.look.notify_one();
+                self.shared.poll_wakeup.notify_one();
                 Ok(())
             }
             Err(newest) => Err(StaleLink { newest }),
@@ -59,7 +59,7 @@
         self.shared.state().on_sync(&call);
         let news = async {
             while !self.shared.state().has_changes() {
-                self.shared.news.notified().await;
+                self.shared.report_wakeup.notified().await;
             }
         };
         // The wait is over when there is news or when it has been long enough.
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -16,7 +16,7 @@
 use crate::workflow::pacing::PaceStep;
 
 /// Longest wait of a look for an end: as often tails are measured and leases extended.
-const LOOK_WAIT: Duration = Duration::from_millis(250);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
 /// Pause after a look that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
@@ -25,24 +25,24 @@
     // An agent before may have paced what runs.
     shared.state().pace = PaceControl::inheriting();
     tokio::spawn(async move {
-        let mut has_failed = false;
+        let mut is_failing = false;
         loop {
             let target = shared.state().target();
             let Some(target) = target else {
                 await_instance(&shared).await;
                 continue;
             };
-            match look(&shared, &target).await {
+            match poll_once(&shared, &target).await {
                 Ok(()) => {
-                    if std::mem::take(&mut has_failed) {
+                    if std::mem::take(&mut is_failing) {
                         log_event(Level::Info, "runner_regained", &[]);
                     }
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut has_failed, true) {
+                    if !std::mem::replace(&mut is_failing, true) {
                         log_event(Level::Warn, "runner_lost", &[("error", &error)]);
                     }
-                    on_error(&shared, &target, &error);
+                    on_poll_error(&shared, &target, &error);
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -55,11 +55,11 @@
 async fn await_instance(shared: &NodeShared) {
     let awaited = shared.state().successor_target();
     let Some(target) = awaited else {
-        return shared.look.notified().await;
+        return shared.poll_wakeup.notified().await;
     };
     tokio::select! {
         () = poll_successor(shared, &target) => {}
-        () = shared.look.notified() => {}
+        () = shared.poll_wakeup.notified() => {}
     }
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Decides what a look that failed says of the runner.
-fn on_error(shared: &NodeShared, target: &RunnerTarget, error: &RunnerError) {
+fn on_poll_error(shared: &NodeShared, target: &RunnerTarget, error: &RunnerError) {
     let mut state = shared.state();
     if !state.is_current_target(target) {
         return;
@@ -93,16 +93,16 @@
     let has_changes = state.has_changes();
     drop(state);
     if has_ended {
-        log_end(shared, target);
+        log_instance_end(shared, target);
         shared.instance_changed.notify_one();
     }
     if has_changes {
-        shared.news.notify_one();
+        shared.report_wakeup.notify_one();
     }
 }
 
 /// Tells of a life that is over, and what had begun on it shortly before.
-fn log_end(shared: &NodeShared, target: &RunnerTarget) {
+fn log_instance_end(shared: &NodeShared, target: &RunnerTarget) {
     let state = shared.state();
     let crash = state.last_crash().filter(|crash| crash.instance == target.instance);
     let young = crash.map_or(String::new(), |crash| young_text(&crash.young));
@@ -110,15 +110,15 @@
     log_event(Level::Info, "runner_ended", &[("instance", &target.instance), ("young", &young)]);
 }
 
-async fn look(shared: &Arc<NodeShared>, target: &RunnerTarget) -> Result<(), RunnerError> {
-    let (number, hold) = {
+async fn poll_once(shared: &Arc<NodeShared>, target: &RunnerTarget) -> Result<(), RunnerError> {
+    let (number, request) = {
         let mut state = shared.state();
         // Without a lease on record the first look only reads the runner's clock.
-        let wait = if state.lease_end().is_some() { LOOK_WAIT } else { Duration::ZERO };
+        let wait = if state.lease_end().is_some() { MAX_POLL_WAIT } else { Duration::ZERO };
         state.next_poll(wait, clock::now())
     };
-    let lists = shared.control.poll(target, hold).await?;
-    let (steps, long_over) = {
+    let response = shared.control.poll(target, request).await?;
+    let (steps, violations) = {
         let mut state = shared.state();
         if !state.is_current_target(target) {
             return Ok(());
@@ -126,14 +126,14 @@
         let now = clock::now();
         let steps = {
             let state = &mut *state;
-            state.pace.look(&lists.running, &state.traits, now)
+            state.pace.look(&response.running, &state.traits, now)
         };
-        if state.on_poll_response(number, lists, now) {
-            shared.news.notify_one();
+        if state.on_poll_response(number, response, now) {
+            shared.report_wakeup.notify_one();
         }
         (steps, state.pace.take_long_over())
     };
-    for (over, fills_percent) in long_over {
+    for (over, fills_percent) in violations {
         log_event(
             Level::Info,
             "task_over_target",
@@ -149,7 +149,7 @@
         let (shared, target) = (shared.clone(), target.clone());
         tokio::spawn(async move { pace(&shared, &target, step).await });
     }
-    if hold.lease_end.is_none() {
+    if request.lease_end.is_none() {
         // The lease comes with the planner's next call.
         tokio::time::sleep(RETRY_PAUSE).await;
     }
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -20,7 +20,7 @@
             address: runner.address.clone(),
             instance: runner.status.instance.clone(),
             epoch,
-            fence: fencing_token(epoch, runner.started_at, fence_raise).max(self.least_fence),
+            fence: fencing_token(epoch, runner.started_at, fence_raise).max(self.min_fence),
         })
     }
 
@@ -31,8 +31,8 @@
     }
 
     /// Takes note of what became of a call for the next life of the runner. One that answers is called until it has registered.
-    pub fn on_successor_response(&mut self, answer: &Result<(), RunnerError>, now: Instant) {
-        match answer {
+    pub fn on_successor_response(&mut self, response: &Result<(), RunnerError>, now: Instant) {
+        match response {
             Ok(()) | Err(RunnerError::OtherLife | RunnerError::Fenced) => return,
             Err(RunnerError::Rejected { .. } | RunnerError::NoAnswer { .. }) => {}
             Err(RunnerError::NotRunning) => self.unsettled.on_successor_absent(now),
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -20,7 +20,7 @@
 
 /// Orders on their way to the runner at once: each takes a connection, and new ones are priced. More than
 /// one, so that an order without an answer does not hold up the others.
-const ORDERS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_ORDERS: usize = 4;
 
 /// State that lives as long as the process.
 pub struct NodeShared {
@@ -31,14 +31,14 @@
     /// Counters and histograms.
     pub metrics: ProcessMetrics,
     /// Wakes answers that wait for news.
-    pub news: Notify,
+    pub report_wakeup: Notify,
     /// Wakes the loop that looks at the runner.
-    pub look: Notify,
+    pub poll_wakeup: Notify,
     /// Tells that another life of the runner may have begun.
     pub instance_changed: Notify,
     state: Mutex<NodeState>,
     /// The life of the last heartbeat that was dropped: those that follow are not logged again.
-    dropped: Mutex<InstanceId>,
+    last_dropped: Mutex<InstanceId>,
 }
 
 impl NodeShared {
@@ -46,13 +46,13 @@
     pub fn new(control: Arc<dyn RunnerControl>) -> NodeShared {
         NodeShared {
             control,
-            order_slots: Semaphore::new(ORDERS_AT_ONCE),
+            order_slots: Semaphore::new(MAX_CONCURRENT_ORDERS),
             metrics: ProcessMetrics::open(),
-            news: Notify::new(),
-            look: Notify::new(),
+            report_wakeup: Notify::new(),
+            poll_wakeup: Notify::new(),
             instance_changed: Notify::new(),
             state: Mutex::new(NodeState::new(clock::now())),
-            dropped: Mutex::default(),
+            last_dropped: Mutex::default(),
         }
     }
 
@@ -63,9 +63,9 @@
 
     /// Whether a dropped heartbeat is the first one in a row of its life.
     fn is_first_dropped(&self, instance: &InstanceId) -> bool {
-        let mut dropped = self.dropped.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_first = *dropped != *instance;
-        dropped.clone_from(instance);
+        let mut last_dropped = self.last_dropped.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_first = *last_dropped != *instance;
+        last_dropped.clone_from(instance);
         is_first
     }
 }
@@ -92,8 +92,8 @@
             ],
         );
         if effect == HeartbeatEffect::Changed {
-            self.news.notify_one();
-            self.look.notify_one();
+            self.report_wakeup.notify_one();
+            self.poll_wakeup.notify_one();
             self.instance_changed.notify_one();
         }
     }
@@ -101,7 +101,7 @@
     fn on_deregister(&self, runner: &str) {
         log_event(log::Level::Info, "runner_left", &[("runner", &runner)]);
         if self.state().on_deregister(runner, clock::now()) {
-            self.news.notify_one();
+            self.report_wakeup.notify_one();
             self.instance_changed.notify_one();
         }
     }
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -34,7 +34,7 @@
 use crate::workflow::worker_board::RunKey;
 
 /// Age of the last answer from which on the next look first asks which life answers.
-const PROOF_SPAN: Duration = Duration::from_millis(1_000);
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_000);
 
 /// The state of a node agent.
 #[derive(Debug)]
@@ -44,23 +44,23 @@
     pub(super) instances: RunnerInstances,
     pub(super) lease: RunnerLease,
     /// Whether the present life has answered the last look.
-    is_proven: bool,
+    is_confirmed: bool,
     /// Whether all leases have expired since the present life was looked at last, which refuses looks: it runs nothing.
-    is_idle: bool,
+    have_leases_expired: bool,
     /// By how much the fencing token is raised, since the present life has seen a higher one.
     pub(super) fence_raise: u32,
     /// The least token for this life, above those of the lives before.
-    pub(super) least_fence: FencingToken,
+    pub(super) min_fence: FencingToken,
     /// The first sign since the last answer that the present life has broken off.
-    silent_since: Option<Instant>,
-    seen: u64,
+    unresponsive_since: Option<Instant>,
+    acknowledged_end: u64,
     /// Number of the first end that the runner still lists.
-    first_listed: Option<u64>,
+    first_listed_end: Option<u64>,
     orders: OrderSequence,
     fresh_snapshot: Option<RunnerSnapshot>,
     /// What the newest look showed, with starts on their way.
     pub(super) present: BTreeSet<RunKey>,
-    reported_ends: u64,
+    last_reported_end: u64,
     has_changes: bool,
     /// What orders have become that looks do not show yet.
     pub(super) tracker: OrderTracker,
@@ -88,17 +88,17 @@
             stamp: LinkStamp::default(),
             instances: RunnerInstances::default(),
             lease: RunnerLease::none(started),
-            is_proven: false,
-            is_idle: false,
+            is_confirmed: false,
+            have_leases_expired: false,
             fence_raise: 0,
-            least_fence: 0,
-            silent_since: None,
-            seen: 0,
-            first_listed: None,
+            min_fence: 0,
+            unresponsive_since: None,
+            acknowledged_end: 0,
+            first_listed_end: None,
             orders: OrderSequence::default(),
             fresh_snapshot: None,
             present: BTreeSet::new(),
-            reported_ends: 0,
+            last_reported_end: 0,
             has_changes: false,
             tracker: OrderTracker::default(),
             recent_starts: RecentStarts::default(),
@@ -121,7 +121,7 @@
             // What the planner knows of orders and ends starts anew with each link.
             self.stamp = stamp;
             self.orders = OrderSequence::default();
-            self.reported_ends = 0;
+            self.last_reported_end = 0;
             self.fresh_snapshot = None;
             self.has_changes = true;
         }
@@ -148,8 +148,8 @@
     /// Takes note that the known life does not answer, which says nothing of another one that may have registered. With leases that
     /// have surely expired the life is given up.
     pub fn on_no_response(&mut self, is_broken: bool, now: Instant) -> bool {
-        self.silent_since.get_or_insert(now);
-        self.is_proven = false;
+        self.unresponsive_since.get_or_insert(now);
+        self.is_confirmed = false;
         if is_broken {
             self.unsettled.on_broken_poll();
         }
@@ -163,34 +163,34 @@
     /// Takes note that the present life refuses a look: it is there, and its leases are not extended. Once those that it has have surely
     /// expired, it runs nothing until it takes another one. Says whether that is new.
     pub fn on_rejected_poll(&mut self, now: Instant) -> bool {
-        let is_new = !self.is_idle && self.lease.have_all_leases_expired(now);
+        let is_new = !self.have_leases_expired && self.lease.have_all_leases_expired(now);
         if is_new {
-            self.is_idle = true;
+            self.have_leases_expired = true;
             self.lease = RunnerLease::none(self.lease.last_response());
             self.tracker.on_expiry();
         }
-        if self.is_idle {
+        if self.have_leases_expired {
             let number = self.tracker.next_poll_number();
-            self.show(number, Vec::new(), Vec::new());
+            self.update_snapshot(number, Vec::new(), Vec::new());
         }
         is_new
     }
 
     /// Takes note that a runner says that it ends. Says whether its present life is over.
     pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
-        let has_left = self.instances.on_deregister(runner, self.tracker.newest_poll());
-        if has_left {
+        let has_ended = self.instances.on_deregister(runner, self.tracker.newest_poll());
+        if has_ended {
             self.end_instance(now);
         }
-        has_left
+        has_ended
     }
 
     /// Takes note that a life has broken off: nobody listens at its address, or another life does.
     pub fn on_crash(&mut self, instance: &str, now: Instant) -> bool {
         let is_present = self.current_instance().is_some_and(|life| life == instance);
         if is_present {
-            let crashed = self.silent_since.unwrap_or(now);
-            let young = self.recent_starts.young_runs_at(self.lease.last_response(), crashed);
+            let crashed_at = self.unresponsive_since.unwrap_or(now);
+            let young = self.recent_starts.young_runs_at(self.lease.last_response(), crashed_at);
             self.instances.record_crash(young, now);
             self.end_instance(now);
         }
@@ -205,24 +205,24 @@
     /// Forgets what is known of the present life, which is over.
     fn end_instance(&mut self, now: Instant) {
         if self.instances.may_have_successor() {
-            self.least_fence = self.target().map_or(self.least_fence, |target| target.fence + 1);
+            self.min_fence = self.target().map_or(self.min_fence, |target| target.fence + 1);
             self.unsettled.end_instance(now);
         } else {
             self.unsettled.discard_instance();
         }
         self.instances.end_current(now);
         self.lease = RunnerLease::none(self.lease.last_response());
-        self.seen = 0;
-        self.first_listed = None;
+        self.acknowledged_end = 0;
+        self.first_listed_end = None;
         self.tracker.clear();
         self.recent_starts = RecentStarts::default();
-        self.is_proven = false;
-        self.is_idle = false;
+        self.is_confirmed = false;
+        self.have_leases_expired = false;
         self.fence_raise = 0;
-        self.silent_since = None;
+        self.unresponsive_since = None;
         self.fresh_snapshot = None;
         self.present.clear();
-        self.reported_ends = 0;
+        self.last_reported_end = 0;
         self.pace = PaceControl::default();
         self.has_changes = true;
     }
@@ -247,7 +247,7 @@
         if call.instance.is_none() || call.instance.as_ref() != self.current_instance() {
             return;
         }
-        self.seen = self.seen.max(call.seen);
+        self.acknowledged_end = self.acknowledged_end.max(call.seen);
         if let Some(grant) = call.grant {
             self.lease.grant(self.started + grant.since + grant.span);
         }
@@ -282,50 +282,56 @@
         }
         // Ends are acknowledged only as long as they are listed: a call that comes late may meet the next life, whose ends have the
         // same numbers.
-        let is_listed = self.first_listed.is_some_and(|first| first <= self.seen);
-        let seen = if is_listed { self.seen } else { 0 };
+        let is_listed = self.first_listed_end.is_some_and(|first| first <= self.acknowledged_end);
+        let seen = if is_listed { self.acknowledged_end } else { 0 };
         (self.tracker.next_poll_number(), PollRequest { lease_end, seen, wait })
     }
 
     /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
     /// by the numbers of other ones.
     fn may_be_successor(&self, now: Instant) -> bool {
-        let is_old = now.saturating_duration_since(self.lease.last_response()) > PROOF_SPAN;
-        self.instances.may_have_successor() && (!self.is_proven || is_old)
+        let is_outdated =
+            now.saturating_duration_since(self.lease.last_response()) > MAX_CONFIRMATION_AGE;
+        self.instances.may_have_successor() && (!self.is_confirmed || is_outdated)
     }
 
     /// Takes in a look that was sent under a number and answered now. Says whether it brings news.
     pub fn on_poll_response(
         &mut self,
         number: PollNumber,
-        lists: PollResponse,
+        response: PollResponse,
         now: Instant,
     ) -> bool {
-        self.lease.on_response(lists.clock, now);
-        self.is_proven = true;
-        self.is_idle = false;
-        self.silent_since = None;
-        self.has_changes |= self.unsettled.on_poll(number, |key| is_shown(&lists, key), now);
+        self.lease.on_response(response.clock, now);
+        self.is_confirmed = true;
+        self.have_leases_expired = false;
+        self.unresponsive_since = None;
+        self.has_changes |= self.unsettled.on_poll(number, |key| is_listed(&response, key), now);
         self.has_changes |= self.instances.on_poll_response(number);
-        self.recent_starts.on_poll(&lists.running, now);
-        let mut present = lists.running;
+        self.recent_starts.on_poll(&response.running, now);
+        let mut present = response.running;
         for run in &mut present {
             let key = (run.task.clone(), run.run);
             run.pace_percent = self.pace.ordered(&key);
             run.measured_percent = self.pace.measured(&key, now);
         }
-        self.show(number, present, lists.ended);
+        self.update_snapshot(number, present, response.ended);
         self.has_changes
     }
 
     /// Makes a look out of what runs and what has ended, for the planner's next call.
-    fn show(&mut self, number: PollNumber, mut present: Vec<PresentRun>, ended: Vec<EndedRun>) {
+    fn update_snapshot(
+        &mut self,
+        number: PollNumber,
+        mut present: Vec<PresentRun>,
+        ended: Vec<EndedRun>,
+    ) {
         self.tracker.reconcile(number, &mut present, &ended);
         self.present = present.iter().map(|run| (run.task.clone(), run.run)).collect();
         self.traits.retain(|task, _| present.iter().any(|run| run.task == *task));
-        self.first_listed = ended.first().map(|ended| ended.number);
+        self.first_listed_end = ended.first().map(|ended| ended.number);
         let last = ended.last().map_or(0, |ended| ended.number);
-        self.has_changes |= last > self.reported_ends || self.tracker.has_rejections();
+        self.has_changes |= last > self.last_reported_end || self.tracker.has_rejections();
         let (rejected, orders_seen) = (Vec::new(), self.orders.seen());
         self.fresh_snapshot = Some(RunnerSnapshot { present, ended, rejected, orders_seen });
     }
@@ -342,7 +348,7 @@
         if let Some(snapshot) = &mut snapshot {
             snapshot.rejected = self.tracker.take_rejections();
             let last = snapshot.ended.last().map_or(0, |ended| ended.number);
-            self.reported_ends = self.reported_ends.max(last);
+            self.last_reported_end = self.last_reported_end.max(last);
         }
         if snapshot.is_some() || self.instances.current().is_none() {
             self.has_changes = false;
@@ -359,6 +365,6 @@
 }
 
 /// Whether a runner shows a run, at work or as an end that was not acknowledged.
-fn is_shown(lists: &PollResponse, key: &RunKey) -> bool {
-    is_present(&lists.running, key) || has_ended(&lists.ended, key)
+fn is_listed(response: &PollResponse, key: &RunKey) -> bool {
+    is_present(&response.running, key) || has_ended(&response.ended, key)
 }
