--- a/src/process/node/fencing_token.rs
+++ b/src/process/node/fencing_token.rs
@@ -1,20 +1,23 @@
 //! Fencing tokens of calls to the runner.
 //!
-//! A runner refuses tokens that are lower than the highest it has seen, and a new life has seen none. Calls that were meant for the
-//! life before may come late to the one that follows under its id. So each life has tokens of its own, and what is left of former lives
-//! is refused as soon as the present one has been called.
+//! A runner rejects tokens lower than the highest that it has seen, and a new instance has seen
+//! none. Delayed calls meant for an instance may reach its successor under the same id. Each
+//! instance therefore has tokens of its own, and delayed calls meant for its predecessors are
+//! rejected once the current one has been called.
 
 use crate::ids::FencingToken;
 use crate::ids::PlannerEpoch;
 use crate::ids::StartMillis;
 
-/// Bits of a token for the lives under one epoch.
+/// Bits of a token that distinguish the instances under one epoch.
 const INSTANCE_BITS: u32 = 32;
-/// Bits of a start time that are left out, so that lives of two years are told apart: those of one id begin further apart than 16 ms.
+/// Low bits of the start time that are dropped, so that 32 bits cover two years: instances under
+/// one id start more than 16 ms apart.
 const START_TIME_SHIFT: u32 = 4;
 
-/// The token of calls for a life under an epoch: of two epochs the later has the higher, then of two lives. A life that started
-/// earlier by a clock that was put back may find itself called with a higher one; `raise` takes its own above that.
+/// Returns the token of calls to an instance under an epoch. Tokens are ordered by epoch first,
+/// then by the start of the instance. If the clock was set back, an instance may have been called
+/// with the higher token of a predecessor; `increment` raises its own above that.
 ///
 /// ```
 /// use greengagearch::process::node::fencing_token::fencing_token;
@@ -28,7 +31,7 @@
     started_at: Option<StartMillis>,
     increment: u32,
 ) -> FencingToken {
-    // The low bits of the start time: lives of more than two years are not told apart.
+    // Keeps the low bits: instances that start more than two years apart may get the same token.
     let instance = (started_at.unwrap_or(0) >> START_TIME_SHIFT) as u32;
     (epoch << INSTANCE_BITS) | u64::from(instance.saturating_add(increment))
 }
--- a/src/process/node/instance_recorder.rs
+++ b/src/process/node/instance_recorder.rs
@@ -1,7 +1,8 @@
-//! Keeps in the store which lives the runner on this host had.
+//! Records in the store which instances the runner on this host has had.
 //!
-//! After a loss of power a new agent meets a new life of the runner. It tells the planner that the lives before
-//! are over, so that their work goes on at once and not when the longest lease has expired.
+//! After a power loss, a new agent finds a new instance of the runner. The record lets it report
+//! the end of the earlier instances to the planner, so that their work continues at once and not
+//! when the longest lease has expired.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +24,13 @@
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 
-/// Lives that are kept: more than end while one planner waits for leases.
+/// Instances kept in the row: more than can end while a planner waits for their leases to expire.
 const MAX_STORED_INSTANCES: usize = 8;
-/// Pause before the store is asked again; a life that is not stored only costs its work the wait for leases.
+/// Pause before a call to the store is repeated. If an instance is not recorded, its work has to
+/// wait for the leases.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// The row of this host, as far as it is known.
+/// Writes the row of this host, with the content that it has read or written last.
 pub struct InstanceRecorder {
     shared: Arc<NodeShared>,
     store: Arc<dyn RowStore>,
@@ -38,12 +40,12 @@
 }
 
 impl InstanceRecorder {
-    /// Reads the row of the host whose agent is reached at `address`, and adds lives that begin. The task ends
-    /// with the process.
+    /// Spawns a task that reads the row of the host whose agent is reached at `address`, and adds
+    /// new instances. The task ends with the process.
     pub fn spawn(shared: Arc<NodeShared>, store: Arc<dyn RowStore>, address: &str) {
         let name = RowName::new(LIFE_TABLE, HOST_PARTITION, address);
-        let keeper = InstanceRecorder { shared, store, name, instances: Vec::new(), version: 0 };
-        tokio::spawn(keeper.run());
+        let recorder = InstanceRecorder { shared, store, name, instances: Vec::new(), version: 0 };
+        tokio::spawn(recorder.run());
     }
 
     async fn run(mut self) {
@@ -57,8 +59,8 @@
         self.shared.state().on_earlier_instances(self.instances.clone());
         loop {
             self.shared.instance_changed.notified().await;
-            while let Some(life) = self.unrecorded_instance() {
-                self.add(life).await;
+            while let Some(instance) = self.unrecorded_instance() {
+                self.add(instance).await;
             }
         }
     }
@@ -82,13 +84,13 @@
         self.shared
             .state()
             .current_instance()
-            .filter(|life| !self.instances.contains(life))
+            .filter(|instance| !self.instances.contains(instance))
             .cloned()
     }
 
-    async fn add(&mut self, life: InstanceId) {
+    async fn add(&mut self, instance: InstanceId) {
         let mut lives = self.instances.clone();
-        lives.push(life);
+        lives.push(instance);
         let surplus = lives.len().saturating_sub(MAX_STORED_INSTANCES);
         lives.drain(..surplus);
         let row = LifeRow { lives };
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node agent: the one process that calls the runner on its host, at the planner's orders.
+//! The node agent: the only process that calls the runner on its host, as the planner orders.
 
 pub mod fencing_token;
 pub mod instance_recorder;
@@ -44,32 +44,32 @@
 use crate::process::planning::settings::NodeSettings;
 use crate::process::stop_signal::StopSignal;
 
-/// Time for answers that are under way at a stop.
+/// Time to finish responses that are in progress when the process stops.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(150);
 
 /// The addresses on which a node agent listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeAddresses {
-    /// For the host's runner.
+    /// Address for the host's runner.
     pub registry: SocketAddr,
-    /// For the planner.
+    /// Address for the planner.
     pub internal: SocketAddr,
 }
 
 /// A running node agent.
 #[derive(Debug)]
 pub struct NodeProcess {
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addresses: NodeAddresses,
     running: JoinHandle<()>,
 }
 
 impl NodeProcess {
-    /// Listens on all addresses and starts.
+    /// Listens on all addresses and starts the agent.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`].
+    /// [`Error::Listen`] if an address cannot be bound.
     pub async fn bind(
         settings: NodeSettings,
         store: Arc<dyn RowStore>,
@@ -97,7 +97,8 @@
         let running = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[]);
-            // The runner goes on under its leases; the next agent here finds what runs.
+            // The runner keeps running under its leases; the next agent on this host learns from
+            // its polls what runs.
             tokio::time::sleep(SHUTDOWN_GRACE).await;
             log_event(Level::Info, "stopped", &[]);
         });
@@ -106,7 +107,7 @@
 
     /// Waits until the process has stopped.
     pub async fn stopped(self) {
-        // A panic of the task has been printed by then.
+        // A panic of the task has been printed already.
         let _ = self.running.await;
     }
 }
--- a/src/process/node/order_attempts.rs
+++ b/src/process/node/order_attempts.rs
@@ -1,4 +1,4 @@
-//! Tries of an order at the runner: counted, and logged where they did not succeed.
+//! Counts the attempts to deliver an order to the runner, and logs those that fail.
 
 use log::Level;
 
@@ -8,15 +8,16 @@
 use crate::process::metrics::ProcessMetrics;
 use crate::workflow::worker_board::RunKey;
 
-/// The first attempts of an order are all logged; after them each power of two.
+/// Each of the first attempts is logged if it fails; later only those whose number is a power of
+/// two.
 const FULLY_LOGGED_ATTEMPTS: u32 = 3;
 
-/// What is tried.
+/// The kind of an order to the runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// A start.
+    /// Start a run.
     Start,
-    /// A stop.
+    /// Stop a run.
     Stop,
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// The attempts of one order so far.
+/// The delivery attempts of one order so far.
 #[derive(Clone, Debug)]
 pub struct OrderAttempts {
     order: OrderKind,
@@ -48,7 +49,7 @@
 }
 
 impl OrderAttempts {
-    /// An order that has not been tried.
+    /// Creates the record of an order that has not been sent.
     ///
     /// ```
     /// use greengagearch::process::node::order_attempts::OrderAttempts;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Counts a try, and logs one that did not succeed.
+    /// Counts an attempt, and logs it if it failed.
     ///
     /// ```
     /// use greengagearch::process::metrics::ProcessMetrics;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Tries so far.
+    /// Returns the number of attempts so far.
     ///
     /// ```
     /// use greengagearch::process::node::order_attempts::OrderAttempts;
@@ -107,7 +108,7 @@
         self.attempts
     }
 
-    /// Tries so far that had no answer, each of which may have been carried out.
+    /// Returns the number of attempts without a response, each of which may have been carried out.
     ///
     /// ```
     /// use greengagearch::process::node::order_attempts::OrderAttempts;
@@ -120,7 +121,7 @@
         self.unanswered
     }
 
-    /// Outcome of the last try.
+    /// Returns the outcome of the last attempt.
     ///
     /// ```
     /// use greengagearch::process::node::order_attempts::OrderAttempts;
--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -1,4 +1,4 @@
-//! Carries orders out on the runner, each repeated until it is known what has become of it.
+//! Sends orders to the runner, and repeats each until its outcome is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +17,13 @@
 use crate::process::node::shared::NodeShared;
 use crate::workflow::worker_board::RunKey;
 
-/// Pause before a stop that the runner has not taken is sent again; it doubles up to the longest.
+/// Pause before a stop that the runner has not accepted is sent again. It doubles with each attempt
+/// up to the maximum.
 const MIN_STOP_RETRY_PAUSE: Duration = Duration::from_millis(30);
 const MAX_STOP_RETRY_PAUSE: Duration = Duration::from_millis(480);
 
-/// Takes orders for the present life of the runner; orders for another life are only counted, since the
-/// next report names the present one.
+/// Accepts orders for the current instance of the runner. Orders for another instance only count as
+/// seen, since the next report names the current one.
 pub fn accept_orders(shared: &Arc<NodeShared>, call: OrderCall) {
     let target = shared.state().target().filter(|target| target.instance == call.instance);
     for order in call.orders {
@@ -54,7 +55,8 @@
     }
 }
 
-/// Sends one start until it needs nothing more, or the runner's life or the planner has changed.
+/// Sends one start until nothing is left to do, or the runner's instance or the planner has
+/// changed.
 struct StartSender {
     shared: Arc<NodeShared>,
     target: RunnerTarget,
@@ -65,8 +67,8 @@
 
 impl StartSender {
     async fn run(mut self) {
-        let arrived = clock::now();
-        let refusal = loop {
+        let arrived_at = clock::now();
+        let rejection = loop {
             match self.next_step() {
                 StartStep::Send => self.send_in_turn().await,
                 StartStep::Wait(pause) => tokio::time::sleep(pause).await,
@@ -74,12 +76,12 @@
                     spawn_stop(&self.shared, &self.target, self.key.clone());
                     break Some(reason);
                 }
-                StartStep::Finished(refusal) => break refusal,
+                StartStep::Finished(rejection) => break rejection,
             }
         };
-        let outcome = refusal.map_or("settled".to_string(), |reason| format!("{reason:?}"));
+        let outcome = rejection.map_or("settled".to_string(), |reason| format!("{reason:?}"));
         let metrics = &self.shared.metrics;
-        metrics.latency.observe(clock::elapsed(arrived).as_secs_f64());
+        metrics.latency.observe(clock::elapsed(arrived_at).as_secs_f64());
         metrics.tasks.with_label_values(&[outcome.as_str()]).inc();
         self.log(&outcome);
     }
@@ -89,7 +91,7 @@
         self.shared.state().next_step(&self.target, &self.key, room, clock::now())
     }
 
-    /// Waits for its turn, and sends the start if that is still what has to be done.
+    /// Waits for a free slot, and sends the start if that is still the next step.
     async fn send_in_turn(&mut self) {
         let shared = self.shared.clone();
         let slot = shared.order_slots.acquire().await;
@@ -123,7 +125,7 @@
     }
 }
 
-/// Sends a stop until the runner has taken it, or its life or the planner has changed.
+/// Sends a stop until the runner has accepted it, or its instance or the planner has changed.
 fn spawn_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
     let (shared, target) = (shared.clone(), target.clone());
     tokio::spawn(async move {
@@ -137,7 +139,7 @@
     });
 }
 
-/// Sends a stop once. Says whether it has to be sent again.
+/// Sends a stop once. Returns whether it has to be sent again.
 async fn try_stop(
     shared: &NodeShared,
     target: &RunnerTarget,
@@ -145,11 +147,11 @@
     attempts: &mut OrderAttempts,
 ) -> bool {
     let slot = shared.order_slots.acquire().await;
-    let due = shared.state().stop_target(target, key);
-    let Some(due) = due else {
+    let current = shared.state().stop_target(target, key);
+    let Some(current) = current else {
         return false;
     };
-    let response = shared.control.stop(&due, &key.0, key.1).await;
+    let response = shared.control.stop(&current, &key.0, key.1).await;
     drop(slot);
     attempts.record(&shared.metrics, &response);
     shared.state().on_stop_response(target, key, &response);
--- a/src/process/node/order_sequence.rs
+++ b/src/process/node/order_sequence.rs
@@ -1,17 +1,18 @@
-//! Which orders have come of those that were sent one after another, since calls may overtake each other.
+//! Tracks which batches of orders have arrived, since calls may overtake each other.
 
 use std::collections::HashMap;
 
-/// The orders that came over one link.
+/// The batches of orders that arrived over one link.
 #[derive(Debug, Default)]
 pub struct OrderSequence {
     seen: u64,
-    /// Orders that came before earlier ones: their number, by that of the ones before.
+    /// Batches that arrived before an earlier one: their numbers by that of the preceding batch.
     early: HashMap<u64, u64>,
 }
 
 impl OrderSequence {
-    /// Takes note of orders that came after those with the number `previous`. They count as seen when those have come as well.
+    /// Records the batch `number`, which follows the batch `previous`. It counts as seen once all
+    /// batches before it have arrived.
     ///
     /// ```
     /// use greengagearch::process::node::order_sequence::OrderSequence;
@@ -29,10 +30,12 @@
         }
     }
 
-    /// Number of the last orders before which none is missing.
+    /// Returns the number of the last batch before which none is missing.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_sequence::OrderSequence::default().seen(), 0);
+    /// use greengagearch::process::node::order_sequence::OrderSequence;
+    ///
+    /// assert_eq!(OrderSequence::default().seen(), 0);
     /// ```
     pub fn seen(&self) -> u64 {
         self.seen
--- a/src/process/node/order_state.rs
+++ b/src/process/node/order_state.rs
@@ -1,4 +1,4 @@
-//! What a node agent does next about an order, and what an answer to it tells.
+//! Steps of a node agent's orders, and the effects of the runner's responses on its state.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -14,7 +14,7 @@
 use crate::workflow::worker_board::RunKey;
 
 impl NodeState {
-    /// Takes an order to start a run. Says whether it is new.
+    /// Accepts an order to start a run. Returns whether it is new.
     pub fn accept_start(&mut self, order: &StartOrder, now: Instant) -> bool {
         let key = (order.traits.task.clone(), order.run);
         self.traits.insert(key.0.clone(), order.traits.clone());
@@ -24,7 +24,7 @@
         self.tracker.accept_start(&key, order.is_repeat, now)
     }
 
-    /// Decides what has to be done next about a start.
+    /// Determines the next step of a start.
     pub fn next_step(
         &mut self,
         target: &RunnerTarget,
@@ -39,7 +39,8 @@
         self.tracker.next_step(key, &conditions, now)
     }
 
-    /// Takes note that a start leaves, as its turn has come and it is still to be sent. Gives the lease that it carries.
+    /// Records that an attempt is about to be sent, if that is still the next step of the start.
+    /// Returns the lease that the call carries.
     pub fn begin_attempt(
         &mut self,
         target: &RunnerTarget,
@@ -58,7 +59,7 @@
         Some(lease_end)
     }
 
-    /// Takes note of what became of a try, unless the life that it was sent to has ended meanwhile.
+    /// Records the response to an attempt, unless the instance that it was sent to has ended.
     pub fn on_start_response(
         &mut self,
         target: &RunnerTarget,
@@ -81,7 +82,7 @@
                 self.recent_starts.on_not_started(key);
                 self.unsettled.on_not_sent(key);
             }
-            // Another life may have carried it out, which leaves it as one without an answer.
+            // Another instance may have carried out the start, so its outcome stays unknown.
             Err(RunnerError::OtherLife) => self.recent_starts.on_not_started(key),
             Err(RunnerError::Fenced | RunnerError::Rejected { .. }) => {
                 self.recent_starts.on_not_started(key);
@@ -90,18 +91,19 @@
         }
     }
 
-    /// Takes an order to stop a run. Says whether it is new.
+    /// Accepts an order to stop a run. Returns whether it is new.
     pub fn accept_stop(&mut self, key: &RunKey) -> bool {
         self.tracker.accept_stop(key)
     }
 
-    /// Where a stop that was ordered for a target has to be sent, until the runner has taken it; tokens may have been raised since.
+    /// Returns where to send a stop that was ordered for `target`, until the runner has accepted
+    /// it. Its fencing token may have been raised since the order.
     pub fn stop_target(&self, target: &RunnerTarget, key: &RunKey) -> Option<RunnerTarget> {
         let is_due = self.is_current_target(target) && self.tracker.is_stop_due(key);
         self.target().filter(|_| is_due)
     }
 
-    /// Takes note of what became of a try to stop a run: one that was refused has done nothing.
+    /// Records the response to a stop. A rejected stop has no effect.
     pub fn on_stop_response(
         &mut self,
         target: &RunnerTarget,
@@ -113,8 +115,9 @@
         }
     }
 
-    /// Whether the runner's newest capacity holds a run beside everything that it shows or is about to start; what is being
-    /// stopped counts until it has ended. A start may have been decided before the capacity shrank, and waited for the store.
+    /// Returns whether the runner's newest capacity holds a run in addition to all that it lists or
+    /// is about to start. A run that is being stopped counts until it has ended. A start may have
+    /// been decided before the capacity shrank, and waited for the store.
     pub fn has_room(&self, key: &RunKey, room: &RoomAmount) -> bool {
         let Some(runner) = self.instances.current() else {
             return false;
@@ -128,11 +131,11 @@
     }
 
     fn start_conditions(&self, key: &RunKey, room: &RoomAmount, now: Instant) -> StartConditions {
-        let is_open = self.may_start(now) == Some(true);
+        let may_start = self.may_start(now) == Some(true);
         StartConditions {
             is_draining: self.is_draining(),
             has_room: self.has_room(key, room),
-            lease_end: self.lease_end().filter(|_| is_open),
+            lease_end: self.lease_end().filter(|_| may_start),
         }
     }
 }
--- a/src/process/node/order_tracker.rs
+++ b/src/process/node/order_tracker.rs
@@ -1,4 +1,4 @@
-//! What the orders of a node agent have become on the present life of its runner, as far as looks do not show it yet.
+//! Orders to the current instance of the runner whose outcome no poll has shown yet.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -15,51 +15,58 @@
 use crate::process::node::pending_start::StartStep;
 use crate::workflow::worker_board::RunKey;
 
-/// An order to stop.
+/// State of an order to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopState {
-    /// It is being sent.
+    /// The stop is being sent.
     Sending,
-    /// The runner has taken it: the run has ended, will end, or never begins.
+    /// The runner has accepted the stop: the run has ended, will end, or never starts.
     Accepted,
 }
 
-/// Refused runs that are remembered: more than are refused while an order is on its way.
+/// Reported rejections that are remembered: more than can occur while an order is in transit.
 const MAX_REPORTED_REJECTIONS: usize = 512;
 
-/// What was ordered on one life of the runner.
+/// The orders to one instance of the runner.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
     polls: PollNumber,
     starts: HashMap<RunKey, PendingStart>,
     stops: HashMap<RunKey, StopState>,
-    /// Refused starts that a look sent after the refusal has not shown.
+    /// Rejected starts that are not in the response to a poll sent after the rejection, and have
+    /// not been reported.
     unreported: Vec<RejectedRun>,
-    /// The last refusals that were told: the planner has given these runs up, and may have ordered them twice.
+    /// The last rejections that were reported. The planner has given up these runs, and may have
+    /// sent their orders twice.
     reported: VecDeque<RejectedRun>,
 }
 
 impl OrderTracker {
-    /// Numbers the next look.
+    /// Returns the number for the next poll.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().next_poll_number(), 1);
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
+    ///
+    /// assert_eq!(OrderTracker::default().next_poll_number(), 1);
     /// ```
     pub fn next_poll_number(&mut self) -> PollNumber {
         self.polls += 1;
         self.polls
     }
 
-    /// Number of the newest look.
+    /// Returns the number of the newest poll.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().newest_poll(), 0);
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
+    ///
+    /// assert_eq!(OrderTracker::default().newest_poll(), 0);
     /// ```
     pub fn newest_poll(&self) -> PollNumber {
         self.polls
     }
 
-    /// Takes an order to start. Of one that was ordered before, a try of an earlier agent may have no answer. Says whether it is new.
+    /// Accepts an order to start a run. If `is_repeat`, an attempt of an earlier agent may have had
+    /// no response. Returns whether the order is new.
     ///
     /// ```
     /// use std::time::Instant;
@@ -84,7 +91,7 @@
         true
     }
 
-    /// Decides what has to be done next about a start.
+    /// Determines the next step of a start.
     ///
     /// ```
     /// use std::time::Instant;
@@ -122,8 +129,8 @@
         step
     }
 
-    /// Takes note that a try leaves, if that is still what has to be done: it may have waited for its turn. Gives the lease that it
-    /// carries.
+    /// Records that an attempt is about to be sent, if that is still the next step after the wait
+    /// for a free slot. Returns the lease that the call carries.
     ///
     /// ```
     /// use std::time::Instant;
@@ -151,7 +158,7 @@
         self.starts.get_mut(key)?.begin_attempt(conditions, now)
     }
 
-    /// Takes note of what became of a try.
+    /// Records the response to an attempt.
     ///
     /// ```
     /// use std::time::Instant;
@@ -172,16 +179,18 @@
         }
     }
 
-    /// Runs whose starts are on their way, as far as looks do not show them.
+    /// Returns the runs whose starts are pending and whose outcome no poll has shown.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::order_tracker::OrderTracker::default().starting().count(), 0);
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
+    ///
+    /// assert_eq!(OrderTracker::default().starting().count(), 0);
     /// ```
     pub fn starting(&self) -> impl Iterator<Item = &RunKey> {
         self.starts.keys()
     }
 
-    /// Takes an order to stop. Says whether it is new.
+    /// Accepts an order to stop a run. Returns whether it is new.
     ///
     /// ```
     /// use std::time::Instant;
@@ -191,7 +200,7 @@
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut tracker = OrderTracker::default();
     /// assert!(tracker.accept_stop(&key));
-    /// assert!(!tracker.accept_start(&key, false, Instant::now()), "what is to stop does not start");
+    /// assert!(!tracker.accept_start(&key, false, Instant::now()), "a stopped run is not started");
     /// ```
     pub fn accept_stop(&mut self, key: &RunKey) -> bool {
         let is_new = !self.stops.contains_key(key);
@@ -201,7 +210,7 @@
         is_new
     }
 
-    /// Whether a stop has to be sent, as the runner has not taken it yet.
+    /// Returns whether a stop has to be sent, since the runner has not accepted it yet.
     ///
     /// ```
     /// use greengagearch::process::node::order_tracker::OrderTracker;
@@ -212,7 +221,7 @@
         self.stops.get(key) == Some(&StopState::Sending)
     }
 
-    /// Takes note that the runner has taken a stop: the run has ended, will end, or never begins.
+    /// Records that the runner has accepted a stop: the run has ended, will end, or never starts.
     ///
     /// ```
     /// use greengagearch::process::node::order_tracker::OrderTracker;
@@ -230,9 +239,9 @@
         }
     }
 
-    /// Gives up what is being sent for a planner that was replaced. Looks that are sent from here on carry the
-    /// new epoch, after which the runner takes nothing of the old one any more: so they show what becomes of
-    /// it, and the new planner's own stops have to go out.
+    /// Abandons the orders of a planner that was replaced. Polls sent from now on carry the new
+    /// epoch, after which the runner rejects calls under the old one, so the responses show the
+    /// outcome of its orders. Stops of the new planner are sent again.
     ///
     /// ```
     /// use greengagearch::process::node::order_tracker::OrderTracker;
@@ -250,7 +259,8 @@
         self.stops.retain(|_, stop| *stop == StopState::Accepted);
     }
 
-    /// Takes note that all leases have expired: no start that was sent begins any more, and there is nothing to stop.
+    /// Records that all leases have expired: no start that was sent can begin any more, and there
+    /// is nothing to stop.
     ///
     /// ```
     /// use greengagearch::process::node::order_tracker::OrderTracker;
@@ -268,7 +278,8 @@
         self.stops.clear();
     }
 
-    /// Adds to what a look shows what it cannot show yet, and forgets what is shown from here on.
+    /// Adds pending starts to the runs that the response to a poll lists, and stops tracking orders
+    /// whose outcome it shows.
     ///
     /// ```
     /// use std::time::Instant;
@@ -290,7 +301,7 @@
     ) {
         let mut missing = Vec::new();
         self.starts.retain(|key, start| {
-            // A run that the runner shows, at work or as an end, does not begin again.
+            // A run that the runner lists as running or ended does not start again.
             if is_present(present, key) || has_ended(ended, key) {
                 return false;
             }
@@ -308,19 +319,23 @@
         self.stops.retain(|key, stop| *stop == StopState::Sending || is_present(present, key));
     }
 
-    /// Whether a refusal has to be told.
+    /// Returns whether there are rejections to report.
     ///
     /// ```
-    /// assert!(!greengagearch::process::node::order_tracker::OrderTracker::default().has_rejections());
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
+    ///
+    /// assert!(!OrderTracker::default().has_rejections());
     /// ```
     pub fn has_rejections(&self) -> bool {
         !self.unreported.is_empty()
     }
 
-    /// The refusals that have to be told.
+    /// Returns the rejections to report, and marks them as reported.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::order_tracker::OrderTracker::default().take_rejections().is_empty());
+    /// use greengagearch::process::node::order_tracker::OrderTracker;
+    ///
+    /// assert!(OrderTracker::default().take_rejections().is_empty());
     /// ```
     pub fn take_rejections(&mut self) -> Vec<RejectedRun> {
         self.reported.extend(self.unreported.iter().cloned());
@@ -329,7 +344,7 @@
         std::mem::take(&mut self.unreported)
     }
 
-    /// Forgets everything, since the life has ended; numbers of looks go on.
+    /// Discards all orders, since the instance has ended. The numbers of polls continue.
     ///
     /// ```
     /// greengagearch::process::node::order_tracker::OrderTracker::default().clear();
@@ -343,12 +358,12 @@
     rejected.task == key.0 && rejected.run == key.1
 }
 
-/// Whether a run is one of those that a look shows.
+/// Returns whether a response lists a run as running.
 pub(crate) fn is_present(present: &[PresentRun], key: &RunKey) -> bool {
     present.iter().any(|run| run.task == key.0 && run.run == key.1)
 }
 
-/// Whether the end of a run is one of those that a look lists.
+/// Returns whether a response lists the end of a run.
 pub(crate) fn has_ended(ended: &[EndedRun], key: &RunKey) -> bool {
     ended.iter().any(|end| end.task == key.0 && end.run == key.1)
 }
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -1,4 +1,4 @@
-//! An order to start a run, and what has to be done next about it.
+//! An order to start a run, and its next step.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,72 +14,74 @@
 use crate::process::node::start_state::StartRejection;
 use crate::process::node::start_state::StartState;
 
-/// Pause before an order without an answer is repeated.
+/// Pause before a start without a response is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// Pause before an order that an unwell runner has refused is repeated.
+/// Pause before a start that an unhealthy runner has rejected is sent again.
 const UNHEALTHY_RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Time for which an unwell runner is asked again whether a start without an answer has begun. It may get well, and the run is
-/// saved; a stop would end it.
+/// How long a start in doubt is sent again to an unhealthy runner before the run is stopped. If the
+/// runner recovers, the run is kept; a stop would end it.
 const UNHEALTHY_RETRY_SPAN: Duration = Duration::from_millis(1_000);
 /// How long a start waits for a lease on a new link.
 const MAX_LEASE_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause between two looks whether there is a lease.
+/// Interval at which a start that waits for a lease checks for it.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// What a start depends on besides its own tries.
+/// Conditions of a start other than its own attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartConditions {
-    /// Whether the runner is leaving.
+    /// Whether the runner is draining.
     pub is_draining: bool,
-    /// Whether the runner has room for it.
+    /// Whether the runner has enough free capacity.
     pub has_room: bool,
-    /// Up to when everything may run, while enough is left of that for a start.
+    /// Time up to which runs may continue; `None` if too little of the lease is left for a start.
     pub lease_end: Option<RunnerMillis>,
 }
 
-/// What has to be done next about a start.
+/// The next step of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartStep {
-    /// Send it when its turn comes.
+    /// Send the start when a slot is free.
     Send,
-    /// Ask again after a pause.
+    /// Determine the next step again after a pause.
     Wait(Duration),
-    /// It is given up for this reason and may begin all the same: stop it.
+    /// Stop the run: the start is abandoned for this reason, but may still be carried out.
     Stop(RejectReason),
-    /// Nothing: looks show what has become of it. The runner does not get it for this reason, if there is one.
+    /// Nothing is left to do, and polls show the outcome. If a reason is given, the start was
+    /// rejected for it.
     Finished(Option<RejectReason>),
 }
 
-/// An order to start a run, from its coming until looks show what has become of it.
+/// An order to start a run, from its arrival until a poll shows its outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStart {
-    arrived: Instant,
-    /// When it may be sent again.
+    arrived_at: Instant,
+    /// Earliest time of the next attempt.
     retry_at: Instant,
     state: StartState,
 }
 
 impl PendingStart {
-    /// A start that came at `now`. Of one that was ordered before, a try of an earlier agent may have no answer.
+    /// Creates a start that arrived at `now`. If `is_repeat`, an attempt of an earlier agent may
+    /// have had no response.
     pub(super) fn new(is_repeat: bool, now: Instant) -> PendingStart {
         let state = match is_repeat {
             true => StartState::InDoubt(InDoubtStart::default()),
             false => StartState::Idle(IdleStart),
         };
-        PendingStart { arrived: now, retry_at: now, state }
+        PendingStart { arrived_at: now, retry_at: now, state }
     }
 
-    /// A start that was refused before, when it was ordered for the first time.
+    /// Creates a start that was rejected when it was ordered for the first time.
     pub(super) fn rejected(
         reason: RejectReason,
         newest_poll: PollNumber,
         now: Instant,
     ) -> PendingStart {
         let state = StartState::Resolved(IdleStart.resolve(newest_poll, Some(reason)));
-        PendingStart { arrived: now, retry_at: now, state }
+        PendingStart { arrived_at: now, retry_at: now, state }
     }
 
-    /// What is known of it, if looks that are sent from now on tell all.
+    /// Returns how the start was resolved, if it was. Polls sent after that show its outcome.
     pub(super) fn resolved(&self) -> Option<ResolvedStart> {
         match self.state {
             StartState::Resolved(resolved) => Some(resolved),
@@ -87,19 +89,19 @@
         }
     }
 
-    /// Gives it up for a stop, unless a try of it may be carried out.
+    /// Cancels the start because of a stop, unless an attempt may still be carried out.
     pub(super) fn withdraw(&mut self, newest_poll: PollNumber) {
         if let StartState::Idle(idle) = self.state {
             self.state = StartState::Resolved(idle.resolve(newest_poll, None));
         }
     }
 
-    /// Takes note that no try of it begins from now on.
+    /// Records that no attempt can start the run from now on.
     pub(super) fn rule_out(&mut self, newest_poll: PollNumber) {
         self.state = StartState::Resolved(self.state.rule_out(newest_poll));
     }
 
-    /// Decides what has to be done next.
+    /// Determines the next step.
     pub(super) fn next_step(
         &mut self,
         conditions: &StartConditions,
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Takes note that a try leaves, if that is still what has to be done. Gives the lease that it carries.
+    /// Records that an attempt is about to be sent, if that is still the next step. Returns the
+    /// lease that the call carries.
     pub(super) fn begin_attempt(
         &mut self,
         conditions: &StartConditions,
@@ -150,7 +153,7 @@
         Some(lease_end)
     }
 
-    /// Why a start that has not begun is not sent.
+    /// Returns why a start that cannot have been carried out is not sent.
     fn rejection_if_idle(
         &self,
         conditions: &StartConditions,
@@ -165,7 +168,7 @@
         self.is_lease_overdue(conditions, now).then_some(RejectReason::Late)
     }
 
-    /// Why a start that may have begun is not sent again.
+    /// Returns why a start that may have been carried out is not sent again.
     fn rejection_if_in_doubt(
         &self,
         in_doubt: InDoubtStart,
@@ -189,7 +192,7 @@
     }
 
     fn is_lease_overdue(&self, conditions: &StartConditions, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.arrived);
+        let waited = now.saturating_duration_since(self.arrived_at);
         conditions.lease_end.is_none() && waited > MAX_LEASE_WAIT
     }
 
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Takes note of what became of a try.
+    /// Records the response to an attempt.
     pub(super) fn on_response(
         &mut self,
         response: &Result<(), RunnerError>,
@@ -209,7 +212,7 @@
         now: Instant,
     ) {
         let StartState::InFlight(in_flight) = self.state else {
-            // A look or a stop has told more meanwhile.
+            // A poll or a stop has resolved the start in the meantime.
             return;
         };
         self.state = state_after(in_flight, response, newest_poll, now);
@@ -226,11 +229,12 @@
     now: Instant,
 ) -> StartState {
     match response {
-        // Whether another life has begun the run is told by looks at that life.
+        // If another instance has started the run, polls of that instance show it.
         Ok(()) | Err(RunnerError::Fenced | RunnerError::OtherLife) => {
             StartState::Resolved(in_flight.resolve(newest_poll, None))
         }
-        // This run, or a later one of the task, has been there: neither try begins any more.
+        // The runner has seen this run or a later one of the task, so no attempt can start it any
+        // more.
         Err(RunnerError::Rejected { reason: RejectReason::Old }) => {
             StartState::Resolved(in_flight.resolve(newest_poll, Some(RejectReason::Old)))
         }
--- a/src/process/node/recent_starts.rs
+++ b/src/process/node/recent_starts.rs
@@ -1,4 +1,5 @@
-//! Which runs the runner has begun of late, so that it can be told which of them were young when its life broke off.
+//! The runs that the runner has started recently, to report which of them were young when its
+//! instance crashed.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -8,25 +9,25 @@
 use crate::connection::node_protocol::YoungRun;
 use crate::workflow::worker_board::RunKey;
 
-/// Young runs that are told of one crash at most, so that a report stays small.
+/// Young runs reported for one crash, to bound the size of a report.
 const MAX_YOUNG_REPORTED: usize = 24;
 
 #[derive(Clone, Copy, Debug)]
 struct RecentStart {
     sent_at: Instant,
-    /// When it was sent before, without an answer.
+    /// Time of the attempt before the last one, if that had no response.
     previous_sent_at: Option<Instant>,
     is_certain: bool,
 }
 
-/// The newest starts on one life of the runner.
+/// The recent starts on one instance of the runner.
 #[derive(Debug, Default)]
 pub struct RecentStarts {
     starts: HashMap<RunKey, RecentStart>,
 }
 
 impl RecentStarts {
-    /// Takes note of a start that is about to be sent, also when it is sent again.
+    /// Records that a start is about to be sent, for the first time or again.
     ///
     /// ```
     /// use std::time::Instant;
@@ -42,7 +43,7 @@
         self.starts.insert(key.clone(), RecentStart { sent_at: now, previous_sent_at, is_certain });
     }
 
-    /// Takes note that the runner has begun a run.
+    /// Records that the runner has started a run.
     ///
     /// ```
     /// use greengagearch::process::node::recent_starts::RecentStarts;
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Takes note that a start was refused, or never left. One that was sent before without an answer may have begun all the
-    /// same: a program that crashes its runner at once leaves no answer, and nobody to take the next try.
+    /// Records that an attempt was rejected or never sent. If an earlier attempt had no response,
+    /// the run may have started all the same: a program that crashes its runner at once prevents
+    /// the response, and leaves no runner for the next attempt.
     ///
     /// ```
     /// use greengagearch::process::node::recent_starts::RecentStarts;
@@ -72,12 +74,14 @@
         }
     }
 
-    /// Takes in what the runner shows, and forgets runs that are no longer young.
+    /// Processes the runs that the runner lists, and discards runs that are no longer young.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::process::node::recent_starts::RecentStarts::default().on_poll(&[], Instant::now());
+    /// use greengagearch::process::node::recent_starts::RecentStarts;
+    ///
+    /// RecentStarts::default().on_poll(&[], Instant::now());
     /// ```
     pub fn on_poll(&mut self, running: &[PresentRun], now: Instant) {
         for run in running {
@@ -86,8 +90,9 @@
         self.starts.retain(|_, start| now.saturating_duration_since(start.sent_at) <= YOUNG_SPAN);
     }
 
-    /// What was young when the life broke off, the youngest first: the life answered last at `answered`, and broke off
-    /// before `crashed`, so that what was sent_at later cannot have start.
+    /// Returns the runs that were young when the instance crashed, the youngest first. The instance
+    /// last responded at `last_response` and crashed before `crashed`, so runs sent later cannot
+    /// have started.
     ///
     /// ```
     /// use std::time::Duration;
--- a/src/process/node/registered_runner.rs
+++ b/src/process/node/registered_runner.rs
@@ -1,31 +1,31 @@
-//! The runner on an agent's host.
+//! The runner that has registered with the agent on its host.
 
 use crate::connection::node_protocol::RunnerStatus;
 use crate::ids::RunnerId;
 use crate::ids::StartMillis;
 
-/// The runner on this host.
+/// The runner on this host, as its newest heartbeat describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisteredRunner {
-    /// Its id, under which it may have had lives before.
+    /// Id of the runner, which may be shared by earlier instances.
     pub runner: RunnerId,
-    /// What it says of itself.
+    /// Status that the runner reports.
     pub status: RunnerStatus,
-    /// Where it takes orders.
+    /// Address at which it accepts orders.
     pub address: String,
-    /// Number of its newest heartbeat.
+    /// Sequence number of the newest heartbeat.
     pub sequence: u64,
-    /// When its life began, if it tells.
+    /// Start time of the instance; `None` if the runner does not report it.
     pub started_at: Option<StartMillis>,
 }
 
-/// What a heartbeat changes.
+/// Effect of a heartbeat on the agent's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatEffect {
-    /// The planner should hear of it at once.
+    /// The planner should get a report at once.
     Changed,
-    /// Nothing, or nothing yet.
+    /// Nothing changes, or not until the next poll.
     Unchanged,
-    /// It is dropped: it speaks of a life that is over.
+    /// The heartbeat is dropped, since its instance has ended.
     Dropped,
 }
--- a/src/process/node/rpc.rs
+++ b/src/process/node/rpc.rs
@@ -1,4 +1,4 @@
-//! The calls that a node agent serves for the planner.
+//! RPC server of a node agent for the planner.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     shared: Arc<NodeShared>,
 }
 
-/// Serves the planner.
+/// Serves the planner's calls on a listener.
 pub fn spawn_node_rpc(listener: TcpListener, shared: Arc<NodeShared>) {
     let server = NodeServer { shared };
     spawn_rpc_server(listener, move |stream| {
@@ -57,16 +57,16 @@
     async fn sync(self, _: Context, call: SyncCall) -> Result<NodeReport, StaleLink> {
         self.admit(call.stamp)?;
         self.shared.state().on_sync(&call);
-        let news = async {
+        let changes = async {
             while !self.shared.state().has_changes() {
                 self.shared.report_wakeup.notified().await;
             }
         };
-        // The wait is over when there is news or when it has been long enough.
-        let _ = timeout(call.wait, news).await;
+        // The report is sent once there are changes or the wait is over.
+        let _ = timeout(call.wait, changes).await;
         let mut state = self.shared.state();
         if !state.is_current(call.stamp) {
-            // A look that is taken out here would be missing in the answer to the newer link.
+            // A snapshot taken here would be missing from the report to the newer link.
             return Err(StaleLink { newest: state.newest_stamp() });
         }
         Ok(state.report(clock::now()))
--- a/src/process/node/runner_instances.rs
+++ b/src/process/node/runner_instances.rs
@@ -1,6 +1,8 @@
-//! The lives of the runner on an agent's host: the present one, those before it, and one that may follow.
+//! The instances of the runner on an agent's host: the current one, its predecessors, and a
+//! possible successor.
 //!
-//! Only answers decide which life is present. Heartbeats and leaves may come late, and start times by clocks that may be put back.
+//! Only responses to polls decide which instance is current. Heartbeats and deregistrations may
+//! arrive late, and start times come from clocks that may be set back.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,59 +15,69 @@
 use crate::process::node::registered_runner::HeartbeatEffect;
 use crate::process::node::registered_runner::RegisteredRunner;
 
-/// Former lives that are remembered, for heartbeats and orders that come late.
+/// Former instances that are remembered, to recognize delayed heartbeats and orders.
 const MAX_FORMER_INSTANCES: usize = 8;
-/// Time for which the next life of a runner is looked for: as long as calls for the one before may be carried out late.
+/// How long polls look for the successor of an instance: as long as calls meant for the instance
+/// may be carried out late.
 const SUCCESSOR_POLL_SPAN: Duration = Duration::from_secs(12);
-/// Time for which the planner is told of a life that broke off: several links may break meanwhile.
+/// How long a crash is reported to the planner, since several links may fail in the meantime.
 const CRASH_REPORT_SPAN: Duration = Duration::from_secs(5);
 
-/// What is known of the lives.
+/// The known instances of the runner.
 #[derive(Debug, Default)]
 pub struct RunnerInstances {
     current: Option<RegisteredRunner>,
-    /// Another life that has registered, and the newest look then.
+    /// Another instance that has registered, and the newest poll at that time.
     candidate: Option<(PollNumber, RegisteredRunner)>,
     former: VecDeque<InstanceId>,
-    /// Lives that earlier agents here have stored; over, but for the present one, when that one answers.
+    /// Instances that earlier agents on this host have recorded. Once the current instance
+    /// responds, all others have ended.
     stored_earlier: Vec<InstanceId>,
-    /// The last life, while the next one under its id has not registered, and up to when calls for that may stay without an answer.
+    /// The last instance until its successor under the same id registers, and the time until which
+    /// polls of that successor may go without a response.
     predecessor: Option<(RegisteredRunner, Instant)>,
-    /// Lives that broke off, and when that was noticed.
+    /// Crashed instances, and when the crash was noticed.
     crashes: Vec<(Instant, RunnerCrash)>,
-    /// The newest look when the runner said that it ends, until a later one shows that its present life goes on.
+    /// The newest poll when the runner announced its end, until a later poll shows that the current
+    /// instance continues.
     deregistered_at: Option<PollNumber>,
 }
 
 impl RunnerInstances {
-    /// The present life.
+    /// Returns the current instance.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::runner_instances::RunnerInstances::default().current().is_none());
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert!(RunnerInstances::default().current().is_none());
     /// ```
     pub fn current(&self) -> Option<&RegisteredRunner> {
         self.current.as_ref()
     }
 
-    /// The name of the present life.
+    /// Returns the id of the current instance.
     ///
     /// ```
-    /// assert_eq!(greengagearch::process::node::runner_instances::RunnerInstances::default().current_id(), None);
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert_eq!(RunnerInstances::default().current_id(), None);
     /// ```
     pub fn current_id(&self) -> Option<&InstanceId> {
         self.current.as_ref().map(|runner| &runner.status.instance)
     }
 
-    /// Whether the runner may be back under its id after the present life.
+    /// Returns whether the runner may restart under the same id after the current instance.
     ///
     /// ```
-    /// assert!(!greengagearch::process::node::runner_instances::RunnerInstances::default().may_have_successor());
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert!(!RunnerInstances::default().may_have_successor());
     /// ```
     pub fn may_have_successor(&self) -> bool {
         self.current.as_ref().is_some_and(|runner| runner.started_at.is_some())
     }
 
-    /// Takes a heartbeat that came when `newest` was the newest look.
+    /// Processes a heartbeat that arrived when `newest_poll` was the newest poll.
     pub fn on_heartbeat(
         &mut self,
         runner: RegisteredRunner,
@@ -85,8 +97,8 @@
                 if has_changed { HeartbeatEffect::Changed } else { HeartbeatEffect::Unchanged }
             }
             Some(_) => {
-                // Either the known life has ended or this heartbeat is an old one that was held up; the
-                // next look at the known life tells.
+                // Either the known instance has ended, or this heartbeat was delayed. The next poll
+                // of the known instance decides.
                 self.candidate = Some((newest_poll, runner));
                 HeartbeatEffect::Unchanged
             }
@@ -97,8 +109,9 @@
         }
     }
 
-    /// Takes note that a runner says that it ends, when `newest` was the newest look. Says whether its present life is surely the one
-    /// that said so: where runners come back under their ids it may be a former one, and the next look tells.
+    /// Records that a runner announced its end when `newest_poll` was the newest poll. Returns
+    /// whether the current instance has certainly ended: if a runner restarts under its id, a
+    /// former instance may have sent the announcement, and the next poll decides.
     pub fn on_deregister(&mut self, runner: &str, newest_poll: PollNumber) -> bool {
         let Some(known) = self.current.as_ref().filter(|known| known.runner == runner) else {
             return false;
@@ -109,37 +122,41 @@
         known.started_at.is_none()
     }
 
-    /// Takes note that the present life has answered a look. Says whether that ends others which the planner may not know to be over.
+    /// Records that the current instance has answered a poll. Returns whether that ends other
+    /// instances whose end the planner may not know.
     pub fn on_poll_response(&mut self, number: PollNumber) -> bool {
         self.deregistered_at.take_if(|deregistered_at| number > *deregistered_at);
         if let Some((_, stale)) = self.candidate.take_if(|(newest_poll, _)| number > *newest_poll) {
-            // The known life has answered a look that was sent after this one's heartbeat came.
+            // The known instance has answered a poll sent after the heartbeat of the candidate.
             self.add_former(stale.status.instance);
         }
         self.end_stored_earlier()
     }
 
-    /// A host has one life of a runner at a time: where one answers, those before it are over. A row of a version that knew no start times
-    /// names instances by their runners, so that it may mean the current one.
+    /// A host has one instance of a runner at a time, so once one responds, the earlier ones have
+    /// ended. Rows of a version without start times name instances by their runner's id, which may
+    /// mean the current one.
     fn end_stored_earlier(&mut self) -> bool {
         let mut has_ended = false;
-        for life in std::mem::take(&mut self.stored_earlier) {
-            let is_present = self
+        for earlier in std::mem::take(&mut self.stored_earlier) {
+            let is_current = self
                 .current
                 .as_ref()
-                .is_some_and(|known| known.status.instance == life || known.runner == life);
-            if !is_present && !self.former.contains(&life) {
-                self.add_former(life);
+                .is_some_and(|known| known.status.instance == earlier || known.runner == earlier);
+            if !is_current && !self.former.contains(&earlier) {
+                self.add_former(earlier);
                 has_ended = true;
             }
         }
         has_ended
     }
 
-    /// Takes in which lives earlier agents on this host have known.
+    /// Sets the instances that earlier agents on this host have recorded.
     ///
     /// ```
-    /// let mut instances = greengagearch::process::node::runner_instances::RunnerInstances::default();
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// let mut instances = RunnerInstances::default();
     /// instances.on_earlier(vec!["i-0".to_string()]);
     /// assert!(instances.on_poll_response(1));
     /// assert_eq!(instances.former(), ["i-0"]);
@@ -148,7 +165,8 @@
         self.stored_earlier = instances;
     }
 
-    /// Remembers what was young on the present life, which has broken off. A runner that is leaving ends as it said.
+    /// Records the crash of the current instance and its young runs. A runner that is draining or
+    /// has announced its end has not crashed.
     pub fn record_crash(&mut self, young: Vec<YoungRun>, now: Instant) {
         let announced_end =
             |runner: &&RegisteredRunner| runner.status.draining || self.deregistered_at.is_some();
@@ -158,21 +176,25 @@
         }
     }
 
-    /// The life that broke off last, for the log.
+    /// Returns the last crash, for the log.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::runner_instances::RunnerInstances::default().last_crash().is_none());
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert!(RunnerInstances::default().last_crash().is_none());
     /// ```
     pub fn last_crash(&self) -> Option<&RunnerCrash> {
         self.crashes.last().map(|(_, crash)| crash)
     }
 
-    /// Lives that broke off of late.
+    /// Returns the recent crashes.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut instances = greengagearch::process::node::runner_instances::RunnerInstances::default();
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// let mut instances = RunnerInstances::default();
     /// assert!(instances.crashes(Instant::now()).is_empty());
     /// ```
     pub fn crashes(&mut self, now: Instant) -> Vec<RunnerCrash> {
@@ -180,7 +202,8 @@
         self.crashes.iter().map(|(_, crash)| crash.clone()).collect()
     }
 
-    /// Puts the present life among the former ones. Another one that has registered since takes its place.
+    /// Moves the current instance to the former ones. Another instance that has registered since
+    /// takes its place.
     pub fn end_current(&mut self, now: Instant) {
         let Some(runner) = self.current.take() else {
             return;
@@ -194,21 +217,27 @@
         }
     }
 
-    /// The last life, while the next one under its id may begin and has not registered.
+    /// Returns the last instance while its successor under the same id may start and has not
+    /// registered.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::runner_instances::RunnerInstances::default().predecessor().is_none());
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert!(RunnerInstances::default().predecessor().is_none());
     /// ```
     pub fn predecessor(&self) -> Option<&RegisteredRunner> {
         self.predecessor.as_ref().map(|(last, _)| last)
     }
 
-    /// Takes note that a call for the next life got no answer. Says whether that life is looked for no longer.
+    /// Records that a poll of the successor had no response. Returns whether polls of it have to
+    /// end.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut instances = greengagearch::process::node::runner_instances::RunnerInstances::default();
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// let mut instances = RunnerInstances::default();
     /// assert!(instances.on_successor_unanswered(Instant::now()));
     /// ```
     pub fn on_successor_unanswered(&mut self, now: Instant) -> bool {
@@ -216,10 +245,12 @@
         self.predecessor.is_none()
     }
 
-    /// Lives that run nothing any more, the newest last.
+    /// Returns the instances that have ended, the newest last.
     ///
     /// ```
-    /// assert!(greengagearch::process::node::runner_instances::RunnerInstances::default().former().is_empty());
+    /// use greengagearch::process::node::runner_instances::RunnerInstances;
+    ///
+    /// assert!(RunnerInstances::default().former().is_empty());
     /// ```
     pub fn former(&self) -> Vec<InstanceId> {
         self.former.iter().cloned().collect()
--- a/src/process/node/runner_lease.rs
+++ b/src/process/node/runner_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the present life of the runner, as far as the agent knows it.
+//! The lease of the runner's current instance, as the agent knows it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,25 +7,27 @@
 use crate::workflow::grant::LONGEST_LEASE;
 use crate::workflow::grant::surely_expired;
 
-/// A start is not tried with less than this left of the lease.
+/// A start is not sent if less than this is left of the lease.
 const MIN_START_LEASE: Duration = Duration::from_millis(150);
-/// A runner that has not answered for so long gets no longer leases.
+/// A runner that has not responded for this long gets no further lease.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// What the planner has granted, what was sent to the runner, and when it answered last.
+/// The lease that the planner has granted, the lease sent to the runner, and the runner's last
+/// response.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerLease {
     last_response: Instant,
     granted_until: Option<Instant>,
     sent_until: Option<Instant>,
-    /// When leases that others have sent end at the latest: an earlier agent, or calls that were meant for a former life.
+    /// Latest end of leases that others may have sent: an earlier agent, or calls meant for a
+    /// former instance.
     inherited_until: Instant,
-    /// The runner's clock, and when it was read.
+    /// Time on the runner's clock, and when it was read.
     clock: Option<(RunnerMillis, Instant)>,
 }
 
 impl RunnerLease {
-    /// No lease of a runner that counts as having answered at `now`.
+    /// Creates the state without a lease for a runner that is assumed to have responded at `now`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// When the runner answered last.
+    /// Returns the time of the runner's last response.
     ///
     /// ```
     /// use std::time::Instant;
@@ -58,7 +60,7 @@
         self.last_response
     }
 
-    /// Takes note of an answer with the runner's clock.
+    /// Records a response with the time on the runner's clock.
     ///
     /// ```
     /// use std::time::Duration;
@@ -77,7 +79,7 @@
         self.last_response = now;
     }
 
-    /// Extends the lease as the planner allows.
+    /// Extends the lease that the planner has granted.
     ///
     /// ```
     /// use std::time::Instant;
@@ -91,7 +93,8 @@
         self.granted_until = self.granted_until.max(Some(until));
     }
 
-    /// Up to when everything may run, on the runner's clock; nothing while that is not known.
+    /// Returns the time up to which runs may continue, on the runner's clock; `None` while that is
+    /// not known.
     ///
     /// ```
     /// use std::time::Instant;
@@ -102,11 +105,11 @@
     /// ```
     pub fn end(&self) -> Option<RunnerMillis> {
         let (clock, read_at) = self.clock?;
-        let left = self.granted_until?.checked_duration_since(read_at)?;
-        Some(clock + u64::try_from(left.as_millis()).ok()?)
+        let remaining = self.granted_until?.checked_duration_since(read_at)?;
+        Some(clock + u64::try_from(remaining.as_millis()).ok()?)
     }
 
-    /// Takes note that a call carries the lease to the runner.
+    /// Records that a call carries the lease to the runner.
     ///
     /// ```
     /// use std::time::Instant;
@@ -117,7 +120,8 @@
         self.sent_until = self.sent_until.max(self.granted_until);
     }
 
-    /// Whether the runner has not answered for too long to be kept alive by calls that may be carried out late.
+    /// Returns whether the runner has not responded for too long to get a further lease, as a call
+    /// that is carried out late would extend it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -132,7 +136,7 @@
         now.saturating_duration_since(self.last_response) > UNRESPONSIVE_AFTER
     }
 
-    /// Whether enough is left for a start; nothing while no lease is known.
+    /// Returns whether enough of the lease is left for a start; `None` while no lease is known.
     ///
     /// ```
     /// use std::time::Instant;
@@ -147,7 +151,8 @@
         self.granted_until.map(|until| now + MIN_START_LEASE < until && !self.is_unresponsive(now))
     }
 
-    /// Whether everything that was sent to a silent runner has surely expired.
+    /// Returns whether all leases that this agent has sent to an unresponsive runner have surely
+    /// expired.
     ///
     /// ```
     /// use std::time::Instant;
@@ -161,7 +166,8 @@
         self.sent_until.is_some_and(|until| self.has_passed(until, now))
     }
 
-    /// The same for what others may have sent as well.
+    /// Returns whether all leases of an unresponsive runner have surely expired, including those
+    /// that others may have sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -180,7 +186,7 @@
     }
 
     fn has_passed(&self, until: Instant, now: Instant) -> bool {
-        let left = until.saturating_duration_since(self.last_response);
-        now >= surely_expired(self.last_response, left) && self.is_unresponsive(now)
+        let remaining = until.saturating_duration_since(self.last_response);
+        now >= surely_expired(self.last_response, remaining) && self.is_unresponsive(now)
     }
 }
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -1,4 +1,5 @@
-//! Looks at the runner without pause: extends its leases, learns of ends, paces what disturbs.
+//! Polls the runner continuously: extends its leases, collects the ends of runs, and slows runs
+//! that disturb others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +16,15 @@
 use crate::workflow::pacing::PaceControl;
 use crate::workflow::pacing::PaceStep;
 
-/// Longest wait of a look for an end: as often tails are measured and leases extended.
+/// Longest time that a poll waits for the end of a run; bounds the interval at which tail latencies
+/// are measured and leases extended.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
-/// Pause after a look that failed.
+/// Pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// Starts looking.
+/// Spawns the task that polls the runner.
 pub fn spawn_runner_poller(shared: Arc<NodeShared>) {
-    // An agent before may have paced what runs.
+    // An earlier agent may have changed the pace of what runs.
     shared.state().pace = PaceControl::inheriting();
     tokio::spawn(async move {
         let mut is_failing = false;
@@ -50,11 +52,11 @@
     });
 }
 
-/// Waits for a life of the runner to register. One that may be back under the id of the last is called before that, so that it takes
-/// nothing that was meant for the last one.
+/// Waits for an instance of the runner to register. A successor that may listen under the id of the
+/// last instance is polled before it registers, so that it rejects calls meant for its predecessor.
 async fn await_instance(shared: &NodeShared) {
-    let awaited = shared.state().successor_target();
-    let Some(target) = awaited else {
+    let successor = shared.state().successor_target();
+    let Some(target) = successor else {
         return shared.poll_wakeup.notified().await;
     };
     tokio::select! {
@@ -64,12 +66,12 @@
 }
 
 async fn poll_successor(shared: &NodeShared, target: &RunnerTarget) {
-    let answer = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
-    shared.state().on_successor_response(&answer, clock::now());
+    let response = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
+    shared.state().on_successor_response(&response, clock::now());
     tokio::time::sleep(RETRY_PAUSE).await;
 }
 
-/// Decides what a look that failed says of the runner.
+/// Updates the state after a failed poll.
 fn on_poll_error(shared: &NodeShared, target: &RunnerTarget, error: &RunnerError) {
     let mut state = shared.state();
     if !state.is_current_target(target) {
@@ -101,7 +103,7 @@
     }
 }
 
-/// Tells of a life that is over, and what had begun on it shortly before.
+/// Logs the end of an instance and the runs that had started on it shortly before.
 fn log_instance_end(shared: &NodeShared, target: &RunnerTarget) {
     let state = shared.state();
     let crash = state.last_crash().filter(|crash| crash.instance == target.instance);
@@ -113,7 +115,7 @@
 async fn poll_once(shared: &Arc<NodeShared>, target: &RunnerTarget) -> Result<(), RunnerError> {
     let (number, request) = {
         let mut state = shared.state();
-        // Without a lease on record the first look only reads the runner's clock.
+        // Without a known lease the first poll only reads the runner's clock.
         let wait = if state.lease_end().is_some() { MAX_POLL_WAIT } else { Duration::ZERO };
         state.next_poll(wait, clock::now())
     };
@@ -133,14 +135,14 @@
         }
         (steps, state.pace.take_long_over())
     };
-    for (over, fills_percent) in violations {
+    for (violation, fills_percent) in violations {
         log_event(
             Level::Info,
             "task_over_target",
             &[
-                ("task", &over.task),
-                ("tail_ms", &over.tail_ms),
-                ("target_ms", &over.target_ms),
+                ("task", &violation.task),
+                ("tail_ms", &violation.tail_ms),
+                ("target_ms", &violation.target_ms),
                 ("fills_percent", &fills_percent),
             ],
         );
@@ -150,7 +152,7 @@
         tokio::spawn(async move { pace(&shared, &target, step).await });
     }
     if request.lease_end.is_none() {
-        // The lease comes with the planner's next call.
+        // The lease arrives with the planner's next call.
         tokio::time::sleep(RETRY_PAUSE).await;
     }
     Ok(())
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -1,4 +1,4 @@
-//! Which life of the runner is called, and with which token.
+//! Selects the instance of the runner to call, and the fencing token of the call.
 
 use std::time::Instant;
 
@@ -9,28 +9,29 @@
 use crate::process::node::state::NodeState;
 
 impl NodeState {
-    /// Where orders go, and under which epoch; nothing without a runner or a planner.
+    /// Returns the target of orders; `None` without a runner or a planner.
     pub fn target(&self) -> Option<RunnerTarget> {
-        self.target_of(self.instances.current()?, self.fence_raise)
+        self.target_of(self.instances.current()?, self.fence_increment)
     }
 
-    fn target_of(&self, runner: &RegisteredRunner, fence_raise: u32) -> Option<RunnerTarget> {
+    fn target_of(&self, runner: &RegisteredRunner, fence_increment: u32) -> Option<RunnerTarget> {
         let epoch = self.stamp.epoch;
         (epoch > 0).then(|| RunnerTarget {
             address: runner.address.clone(),
             instance: runner.status.instance.clone(),
             epoch,
-            fence: fencing_token(epoch, runner.started_at, fence_raise).max(self.min_fence),
+            fence: fencing_token(epoch, runner.started_at, fence_increment).max(self.min_fence),
         })
     }
 
-    /// Where the next life of the runner will listen, before it has registered. A call with this token makes it refuse what was meant
-    /// for the life before.
+    /// Returns the address at which the runner's successor will listen, before it has registered. A
+    /// call with this token makes it reject calls meant for its predecessor.
     pub fn successor_target(&self) -> Option<RunnerTarget> {
         self.target_of(self.instances.predecessor()?, 0)
     }
 
-    /// Takes note of what became of a call for the next life of the runner. One that answers is called until it has registered.
+    /// Records the response to a poll of the runner's successor. A successor that responds is
+    /// polled until it has registered.
     pub fn on_successor_response(&mut self, response: &Result<(), RunnerError>, now: Instant) {
         match response {
             Ok(()) | Err(RunnerError::OtherLife | RunnerError::Fenced) => return,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Whether a target is still the present one.
+    /// Returns whether a target is still the current one.
     pub fn is_current_target(&self, target: &RunnerTarget) -> bool {
         self.target().is_some_and(|present| {
             present.instance == target.instance
@@ -51,9 +52,10 @@
         })
     }
 
-    /// Takes note that the runner has seen a higher token: one of a later planner, or one of a life before that started later by a
-    /// clock that was put back. The latter is overtaken in a few steps, a later planner's never.
+    /// Records that the runner has seen a higher token: that of a later planner, or that of a
+    /// former instance with a later start time if the clock was set back. Doubling the increment
+    /// exceeds the latter after a few calls, but never the token of a later planner.
     pub fn on_fenced(&mut self) {
-        self.fence_raise = self.fence_raise.saturating_mul(2).max(1);
+        self.fence_increment = self.fence_increment.saturating_mul(2).max(1);
     }
 }
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node agent share.
+//! State that the tasks of a node agent share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,31 +18,31 @@
 use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::state::NodeState;
 
-/// Orders on their way to the runner at once: each takes a connection, and new ones are priced. More than
-/// one, so that an order without an answer does not hold up the others.
+/// Orders sent to the runner at the same time. Each takes a connection, and new connections have a
+/// cost. More than one, so that an order without a response does not block the others.
 const MAX_CONCURRENT_ORDERS: usize = 4;
 
-/// State that lives as long as the process.
+/// Shared state of the process.
 pub struct NodeShared {
-    /// The runner's control.
+    /// Client of the runner.
     pub control: Arc<dyn RunnerControl>,
-    /// Bounds the orders that are on their way to the runner at once.
+    /// Bounds the orders that are sent to the runner at the same time.
     pub order_slots: Semaphore,
-    /// Counters and histograms.
+    /// Counters and histograms of the process.
     pub metrics: ProcessMetrics,
-    /// Wakes answers that wait for news.
+    /// Wakes the planner's sync calls that wait for changes.
     pub report_wakeup: Notify,
-    /// Wakes the loop that looks at the runner.
+    /// Wakes the task that polls the runner.
     pub poll_wakeup: Notify,
-    /// Tells that another life of the runner may have begun.
+    /// Signals that another instance of the runner may have started.
     pub instance_changed: Notify,
     state: Mutex<NodeState>,
-    /// The life of the last heartbeat that was dropped: those that follow are not logged again.
+    /// Instance of the last dropped heartbeat; further heartbeats from it are not logged.
     last_dropped: Mutex<InstanceId>,
 }
 
 impl NodeShared {
-    /// State of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(control: Arc<dyn RunnerControl>) -> NodeShared {
         NodeShared {
             control,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// The state.
+    /// Locks the agent's state.
     pub fn state(&self) -> MutexGuard<'_, NodeState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a dropped heartbeat is the first one in a row of its life.
+    /// Returns whether a dropped heartbeat is the first in a row from its instance.
     fn is_first_dropped(&self, instance: &InstanceId) -> bool {
         let mut last_dropped = self.last_dropped.lock().unwrap_or_else(PoisonError::into_inner);
         let is_first = *last_dropped != *instance;
--- a/src/process/node/start_state.rs
+++ b/src/process/node/start_state.rs
@@ -1,52 +1,53 @@
-//! The life cycle of a start on one life of a runner.
+//! The states of a start on one instance of a runner.
 //!
-//! A call without an answer may have been carried out, or may be seconds later, after newer calls. An answer to a repeat tells of that
-//! try alone, unless it says that the run is there or can no longer begin. Each state has just the transitions that its tries allow:
-//! a start may be refused while it is idle, and not while it is in_doubt.
+//! A call without a response may have been carried out, or may be carried out seconds later, after
+//! newer calls. The response to a repeated attempt concerns that attempt alone, unless it says that
+//! the run exists or can no longer start. Each state has only the transitions that its attempts
+//! allow: a start may be rejected while it is idle, but not while it is in doubt.
 
 use std::time::Instant;
 
 use crate::connection::node_protocol::RejectReason;
 use crate::ids::PollNumber;
 
-/// A refusal of a try, while an earlier one has no answer.
+/// Rejections of attempts while an earlier one has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartRejection {
-    /// When the first of them came.
+    /// Time of the first rejection.
     pub since: Instant,
-    /// Why the last one was refused.
+    /// Reason of the last rejection.
     pub reason: RejectReason,
 }
 
-/// No try of it may be carried out any more: none has left, or each was refused.
+/// No attempt can be carried out any more: none was sent, or each was rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IdleStart;
 
-/// A try is on its way, and `before` is what stood before it.
+/// An attempt is in flight; `previous` is the state before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightStart {
-    before: Option<InDoubtStart>,
+    previous: Option<InDoubtStart>,
 }
 
-/// A try of it has no answer: it may have begun, or may begin yet.
+/// An attempt had no response: the run may have started, or may start later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InDoubtStart {
-    /// Refusals of later tries.
+    /// Rejections of later attempts.
     pub rejection: Option<StartRejection>,
-    /// Why it was given up; from then on it is being stopped.
+    /// Why the start was abandoned, if it was; the run is then being stopped.
     pub abandoned: Option<RejectReason>,
 }
 
-/// It has begun, or cannot begin any more: looks that are sent after `newest` show which.
+/// The run has started, or cannot start any more: polls after `newest_poll` show which.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResolvedStart {
-    /// The newest look when this became known.
+    /// The newest poll when this became known.
     pub newest_poll: PollNumber,
-    /// Why the run was refused, if those looks do not show it.
+    /// Why the start was rejected, if those polls do not list the run.
     pub rejection: Option<RejectReason>,
 }
 
-/// What is known of a start.
+/// The state of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartState {
     /// See [`IdleStart`].
@@ -60,7 +61,7 @@
 }
 
 impl IdleStart {
-    /// A try is about to leave.
+    /// Begins an attempt.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
@@ -69,10 +70,10 @@
     /// assert_eq!(IdleStart.send().on_not_sent(), StartState::Idle(IdleStart));
     /// ```
     pub fn send(self) -> InFlightStart {
-        InFlightStart { before: None }
+        InFlightStart { previous: None }
     }
 
-    /// It is given up, for a reason if the planner has to be told one.
+    /// Cancels the start, with a reason if the planner has to get one.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
@@ -89,7 +90,7 @@
 }
 
 impl InFlightStart {
-    /// The runner has answered that the run is there, or that it can no longer begin.
+    /// Records the response that the run exists, or that it can no longer start.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
@@ -104,7 +105,7 @@
         ResolvedStart { newest_poll, rejection }
     }
 
-    /// The runner has refused this try.
+    /// Records that the runner has rejected this attempt.
     ///
     /// ```
     /// use std::time::Instant;
@@ -120,7 +121,7 @@
     /// assert_matches!(repeated.reject(reason, 3, now), StartState::InDoubt(_));
     /// ```
     pub fn reject(self, reason: RejectReason, newest_poll: PollNumber, now: Instant) -> StartState {
-        let Some(in_doubt) = self.before else {
+        let Some(in_doubt) = self.previous else {
             return StartState::Resolved(self.resolve(newest_poll, Some(reason)));
         };
         let since = in_doubt.rejection.map_or(now, |rejection| rejection.since);
@@ -128,7 +129,7 @@
         StartState::InDoubt(InDoubtStart { rejection, ..in_doubt })
     }
 
-    /// The try had no answer.
+    /// Records that the attempt had no response.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
@@ -136,10 +137,10 @@
     /// assert_eq!(IdleStart.send().on_no_response().rejection, None);
     /// ```
     pub fn on_no_response(self) -> InDoubtStart {
-        self.before.unwrap_or_default()
+        self.previous.unwrap_or_default()
     }
 
-    /// The try never left.
+    /// Records that the attempt was never sent.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
@@ -149,12 +150,12 @@
     /// assert_eq!(in_doubt.send().on_not_sent(), StartState::InDoubt(in_doubt));
     /// ```
     pub fn on_not_sent(self) -> StartState {
-        self.before.map_or(StartState::Idle(IdleStart), StartState::InDoubt)
+        self.previous.map_or(StartState::Idle(IdleStart), StartState::InDoubt)
     }
 }
 
 impl InDoubtStart {
-    /// A further try is about to leave.
+    /// Begins a further attempt.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::InDoubtStart;
@@ -162,10 +163,10 @@
     /// assert_eq!(InDoubtStart::default().send().on_no_response(), InDoubtStart::default());
     /// ```
     pub fn send(self) -> InFlightStart {
-        InFlightStart { before: Some(self) }
+        InFlightStart { previous: Some(self) }
     }
 
-    /// It is given up: a stop rules out that it begins, or ends it.
+    /// Abandons the start: a stop prevents the run from starting, or ends it.
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::RejectReason;
@@ -180,7 +181,7 @@
 }
 
 impl StartState {
-    /// The runner has taken a stop, or obeys no call of the sender any more.
+    /// Records that the runner has accepted a stop, or rejects all calls of the sender from now on.
     ///
     /// ```
     /// use greengagearch::process::node::start_state::IdleStart;
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -1,4 +1,5 @@
-//! What a node agent knows: its runner, the planner that it obeys, and what it has ordered.
+//! State of a node agent: its runner, the planner link that it accepts orders from, and the orders
+//! that it has accepted.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -33,7 +34,7 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
-/// Age of the last answer from which on the next look first asks which life answers.
+/// Age of the last response above which the next poll first confirms which instance answers.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_000);
 
 /// The state of a node agent.
@@ -43,44 +44,48 @@
     pub(super) stamp: LinkStamp,
     pub(super) instances: RunnerInstances,
     pub(super) lease: RunnerLease,
-    /// Whether the present life has answered the last look.
+    /// Whether the current instance has answered the last poll.
     is_confirmed: bool,
-    /// Whether all leases have expired since the present life was looked at last, which refuses looks: it runs nothing.
+    /// Whether all leases of the current instance have expired while it rejects polls, so that it
+    /// runs nothing.
     have_leases_expired: bool,
-    /// By how much the fencing token is raised, since the present life has seen a higher one.
-    pub(super) fence_raise: u32,
-    /// The least token for this life, above those of the lives before.
+    /// Increment of the fencing token, after the current instance has seen a higher token.
+    pub(super) fence_increment: u32,
+    /// Lowest fencing token for the current instance, above those of its predecessors.
     pub(super) min_fence: FencingToken,
-    /// The first sign since the last answer that the present life has broken off.
+    /// Time of the first poll without a response since the last response of the current instance;
+    /// taken as the time of a crash.
     unresponsive_since: Option<Instant>,
     acknowledged_end: u64,
     /// Number of the first end that the runner still lists.
     first_listed_end: Option<u64>,
     orders: OrderSequence,
     fresh_snapshot: Option<RunnerSnapshot>,
-    /// What the newest look showed, with starts on their way.
+    /// Runs in the newest snapshot, including those whose start is pending.
     pub(super) present: BTreeSet<RunKey>,
     last_reported_end: u64,
     has_changes: bool,
-    /// What orders have become that looks do not show yet.
+    /// Orders whose outcome no poll has shown yet.
     pub(super) tracker: OrderTracker,
-    /// Runs that the present life has begun of late.
+    /// Runs that the current instance has started recently.
     pub(super) recent_starts: RecentStarts,
-    /// Starts that the next life may carry out as well.
+    /// Starts that the successor of the instance may carry out as well.
     pub(super) unsettled: UnsettledStarts,
-    /// What is known of tasks.
+    /// Properties of the tasks, as the planner has sent them.
     pub traits: HashMap<TaskName, TaskTraits>,
-    /// Decides how fast tasks may work.
+    /// Decides the pace of the tasks.
     pub pace: PaceControl,
 }
 
 impl NodeState {
-    /// The state of an agent that has just started.
+    /// Creates the state of an agent that has just started.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// assert!(greengagearch::process::node::state::NodeState::new(Instant::now()).target().is_none());
+    /// use greengagearch::process::node::state::NodeState;
+    ///
+    /// assert!(NodeState::new(Instant::now()).target().is_none());
     /// ```
     pub fn new(started: Instant) -> NodeState {
         NodeState {
@@ -90,7 +95,7 @@
             lease: RunnerLease::none(started),
             is_confirmed: false,
             have_leases_expired: false,
-            fence_raise: 0,
+            fence_increment: 0,
             min_fence: 0,
             unresponsive_since: None,
             acknowledged_end: 0,
@@ -108,7 +113,8 @@
         }
     }
 
-    /// Obeys a sender if it is not older than the newest one. Says whether it is a new link.
+    /// Accepts a sender unless it is older than the newest one known. Returns whether it opens a
+    /// new link; the error is the newest stamp.
     pub fn admit(&mut self, stamp: LinkStamp) -> Result<bool, LinkStamp> {
         if stamp < self.stamp {
             return Err(self.stamp);
@@ -118,7 +124,7 @@
             if stamp.epoch > self.stamp.epoch {
                 self.tracker.on_new_epoch();
             }
-            // What the planner knows of orders and ends starts anew with each link.
+            // Order numbers and reported ends start over with each link.
             self.stamp = stamp;
             self.orders = OrderSequence::default();
             self.last_reported_end = 0;
@@ -128,25 +134,26 @@
         Ok(is_new)
     }
 
-    /// The newest sender.
+    /// Returns the stamp of the newest sender.
     pub fn newest_stamp(&self) -> LinkStamp {
         self.stamp
     }
 
-    /// Whether a sender is still the newest.
+    /// Returns whether a sender is still the newest.
     pub fn is_current(&self, stamp: LinkStamp) -> bool {
         stamp == self.stamp
     }
 
-    /// Takes a heartbeat of the runner.
+    /// Processes a heartbeat of the runner.
     pub fn on_heartbeat(&mut self, runner: RegisteredRunner) -> HeartbeatEffect {
         let effect = self.instances.on_heartbeat(runner, self.tracker.newest_poll());
         self.has_changes |= effect == HeartbeatEffect::Changed;
         effect
     }
 
-    /// Takes note that the known life does not answer, which says nothing of another one that may have registered. With leases that
-    /// have surely expired the life is given up.
+    /// Records that the known instance does not respond, which says nothing about another one that
+    /// may have registered. If its leases have surely expired, the instance is considered ended.
+    /// Returns whether it is.
     pub fn on_no_response(&mut self, is_broken: bool, now: Instant) -> bool {
         self.unresponsive_since.get_or_insert(now);
         self.is_confirmed = false;
@@ -160,8 +167,9 @@
         has_expired
     }
 
-    /// Takes note that the present life refuses a look: it is there, and its leases are not extended. Once those that it has have surely
-    /// expired, it runs nothing until it takes another one. Says whether that is new.
+    /// Records that the current instance rejects a poll: it is alive, and its leases are not
+    /// extended. Once its existing leases have surely expired, it runs nothing until it accepts
+    /// another one. Returns whether this expiry is new.
     pub fn on_rejected_poll(&mut self, now: Instant) -> bool {
         let is_new = !self.have_leases_expired && self.lease.have_all_leases_expired(now);
         if is_new {
@@ -176,7 +184,7 @@
         is_new
     }
 
-    /// Takes note that a runner says that it ends. Says whether its present life is over.
+    /// Records that a runner announces its end. Returns whether its current instance has ended.
     pub fn on_deregister(&mut self, runner: &str, now: Instant) -> bool {
         let has_ended = self.instances.on_deregister(runner, self.tracker.newest_poll());
         if has_ended {
@@ -185,24 +193,25 @@
         has_ended
     }
 
-    /// Takes note that a life has broken off: nobody listens at its address, or another life does.
+    /// Records that an instance has crashed: nothing listens at its address, or another instance
+    /// does. Returns whether it was the current one.
     pub fn on_crash(&mut self, instance: &str, now: Instant) -> bool {
-        let is_present = self.current_instance().is_some_and(|life| life == instance);
-        if is_present {
+        let is_current = self.current_instance().is_some_and(|current| current == instance);
+        if is_current {
             let crashed_at = self.unresponsive_since.unwrap_or(now);
             let young = self.recent_starts.young_runs_at(self.lease.last_response(), crashed_at);
             self.instances.record_crash(young, now);
             self.end_instance(now);
         }
-        is_present
+        is_current
     }
 
-    /// The life that broke off last, for the log.
+    /// Returns the last crash, for the log.
     pub fn last_crash(&self) -> Option<&RunnerCrash> {
         self.instances.last_crash()
     }
 
-    /// Forgets what is known of the present life, which is over.
+    /// Discards the state of the current instance, which has ended.
     fn end_instance(&mut self, now: Instant) {
         if self.instances.may_have_successor() {
             self.min_fence = self.target().map_or(self.min_fence, |target| target.fence + 1);
@@ -218,7 +227,7 @@
         self.recent_starts = RecentStarts::default();
         self.is_confirmed = false;
         self.have_leases_expired = false;
-        self.fence_raise = 0;
+        self.fence_increment = 0;
         self.unresponsive_since = None;
         self.fresh_snapshot = None;
         self.present.clear();
@@ -227,22 +236,23 @@
         self.has_changes = true;
     }
 
-    /// The present life of the runner.
+    /// Returns the current instance of the runner.
     pub fn current_instance(&self) -> Option<&InstanceId> {
         self.instances.current_id()
     }
 
-    /// Takes in which lives earlier agents on this host have known.
-    pub fn on_earlier_instances(&mut self, lives: Vec<InstanceId>) {
-        self.instances.on_earlier(lives);
+    /// Sets the instances that earlier agents on this host have known.
+    pub fn on_earlier_instances(&mut self, instances: Vec<InstanceId>) {
+        self.instances.on_earlier(instances);
     }
 
-    /// Whether the runner is leaving.
+    /// Returns whether the runner is draining.
     pub fn is_draining(&self) -> bool {
         self.instances.current().is_some_and(|runner| runner.status.draining)
     }
 
-    /// Extends the leases as the planner allows. The span counts from a time that this agent sent.
+    /// Extends the lease by the planner's grant, whose span counts from a time that this agent
+    /// sent. A grant for another instance is ignored.
     pub fn on_sync(&mut self, call: &SyncCall) {
         if call.instance.is_none() || call.instance.as_ref() != self.current_instance() {
             return;
@@ -253,49 +263,53 @@
         }
     }
 
-    /// Up to when everything may run, on the runner's clock; nothing while that is not known.
+    /// Returns the time up to which runs may continue, on the runner's clock; `None` while that is
+    /// not known.
     pub fn lease_end(&self) -> Option<RunnerMillis> {
         self.lease.end()
     }
 
-    /// Whether a start may be tried at `now`: nothing while no lease is known, else whether enough is left.
+    /// Returns whether enough of the lease is left at `now` to send a start; `None` while no lease
+    /// is known.
     pub fn may_start(&self, now: Instant) -> Option<bool> {
         Some(self.lease.is_long_enough_for_start(now)? && !self.may_be_successor(now))
     }
 
-    /// Takes note of orders that came, all of which are known here by now. They count as seen when those
-    /// before them have come as well.
+    /// Records that a batch of orders has arrived and is tracked. It counts as seen once all
+    /// batches before it have arrived as well.
     pub fn on_orders(&mut self, previous: u64, number: u64) {
         self.orders.on_orders(previous, number);
     }
 
-    /// How the next look is to be taken, and its number.
+    /// Returns the number and the parameters of the next poll.
     pub fn next_poll(&mut self, wait: Duration, now: Instant) -> (PollNumber, PollRequest) {
         if self.may_be_successor(now) {
-            let hold = PollRequest { lease_end: None, seen: 0, wait: Duration::ZERO };
-            return (self.tracker.next_poll_number(), hold);
+            let request = PollRequest { lease_end: None, seen: 0, wait: Duration::ZERO };
+            return (self.tracker.next_poll_number(), request);
         }
-        // A life that does not answer is not kept alive by calls that may be carried out late.
+        // Calls may be carried out late, so an instance that does not respond gets no further
+        // lease.
         let lease_end = self.lease.end().filter(|_| !self.lease.is_unresponsive(now));
         if lease_end.is_some() {
             self.lease.on_sent();
         }
-        // Ends are acknowledged only as long as they are listed: a call that comes late may meet the next life, whose ends have the
-        // same numbers.
+        // Ends are acknowledged only while they are listed: a delayed call may reach the successor,
+        // whose ends have the same numbers.
         let is_listed = self.first_listed_end.is_some_and(|first| first <= self.acknowledged_end);
         let seen = if is_listed { self.acknowledged_end } else { 0 };
         (self.tracker.next_poll_number(), PollRequest { lease_end, seen, wait })
     }
 
-    /// Whether the next life under the runner's id may answer the next look: it would take the lease by another clock, and forget ends
-    /// by the numbers of other ones.
+    /// Returns whether the successor under the runner's id may answer the next poll. It would apply
+    /// the lease to a clock of its own, and discard ends that have the same numbers.
     fn may_be_successor(&self, now: Instant) -> bool {
         let is_outdated =
             now.saturating_duration_since(self.lease.last_response()) > MAX_CONFIRMATION_AGE;
         self.instances.may_have_successor() && (!self.is_confirmed || is_outdated)
     }
 
-    /// Takes in a look that was sent under a number and answered now. Says whether it brings news.
+    /// Processes the response to the poll `number`. Returns whether the planner should get a report
+    /// at once.
     pub fn on_poll_response(
         &mut self,
         number: PollNumber,
@@ -319,7 +333,7 @@
         self.has_changes
     }
 
-    /// Makes a look out of what runs and what has ended, for the planner's next call.
+    /// Builds the snapshot for the planner's next call from the running and ended runs.
     fn update_snapshot(
         &mut self,
         number: PollNumber,
@@ -336,13 +350,14 @@
         self.fresh_snapshot = Some(RunnerSnapshot { present, ended, rejected, orders_seen });
     }
 
-    /// Whether the planner should hear of something at once.
+    /// Returns whether the planner should get a report at once.
     pub fn has_changes(&self) -> bool {
-        // Without a runner there is no look to wait for, and what ran on it waits to start elsewhere.
+        // Without a runner there is no poll to wait for, and its runs wait to be started elsewhere.
         self.has_changes && (self.fresh_snapshot.is_some() || self.instances.current().is_none())
     }
 
-    /// What the planner is told: the newest look, once.
+    /// Returns the report for the planner, with the newest snapshot if it has not been reported
+    /// yet.
     pub fn report(&mut self, now: Instant) -> NodeReport {
         let mut snapshot = self.fresh_snapshot.take();
         if let Some(snapshot) = &mut snapshot {
@@ -364,7 +379,7 @@
     }
 }
 
-/// Whether a runner shows a run, at work or as an end that was not acknowledged.
+/// Returns whether a response lists a run as running, or as ended and not acknowledged.
 fn is_listed(response: &PollResponse, key: &RunKey) -> bool {
     is_present(&response.running, key) || has_ended(&response.ended, key)
 }
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -1,8 +1,10 @@
-//! Starts that the next life of the runner may carry out, or has carried out, in place of the one that they were sent to.
+//! Starts that the successor of the runner's instance may carry out, or has carried out, in place
+//! of the instance that they were sent to.
 //!
-//! A runner may be back under its id after a crash, and calls name the id alone. A start without an answer may still be on its way;
-//! one that was answered after the life's last sign may have been taken by the next life. Such a task must not start elsewhere
-//! until that life has shown what it runs.
+//! A runner may restart under its id after a crash, and calls name only that id. A start without a
+//! response may still be in transit; one that had a response after the last poll that the instance
+//! answered may have reached the successor. Such a task must not start elsewhere until the
+//! successor has listed what it runs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,40 +13,42 @@
 use crate::ids::PollNumber;
 use crate::workflow::worker_board::RunKey;
 
-/// Time for which a start that has no answer may still be carried out.
+/// Time for which a start without a response may still be carried out.
 const LATE_DELIVERY_SPAN: Duration = Duration::from_secs(12);
-/// Longest wait for the next life: a runner that stays away must not keep its tasks from others.
+/// Longest wait for the successor, so that a runner that does not return does not block its tasks.
 const MAX_SUCCESSOR_WAIT: Duration = Duration::from_secs(5);
 
-/// The tries to start one run.
+/// The attempts to start one run.
 #[derive(Clone, Copy, Debug, Default)]
 struct StartAttempts {
-    /// The newest try before the last one that has no answer.
-    unanswered: Option<Instant>,
-    /// The last try, while it has no answer.
-    last: Option<Instant>,
-    /// The newest look when an answer came, until the life has answered a later one.
+    /// Time of the newest attempt without a response, not counting the last one.
+    unanswered_sent_at: Option<Instant>,
+    /// Time of the last attempt while it has no response.
+    last_sent_at: Option<Instant>,
+    /// The newest poll when a response arrived, until the instance has answered a later poll.
     answered_after: Option<PollNumber>,
 }
 
 impl StartAttempts {
     fn is_unsettled(&self, now: Instant) -> bool {
-        let may_come = |sent: Instant| now.saturating_duration_since(sent) < LATE_DELIVERY_SPAN;
-        let is_late = self.unanswered.max(self.last).is_some_and(may_come);
-        is_late || self.answered_after.is_some()
+        let may_be_carried_out =
+            |sent: Instant| now.saturating_duration_since(sent) < LATE_DELIVERY_SPAN;
+        let is_unanswered =
+            self.unanswered_sent_at.max(self.last_sent_at).is_some_and(may_be_carried_out);
+        is_unanswered || self.answered_after.is_some()
     }
 }
 
-/// Starts that were sent to the present life of the runner, and those of former lives that are unsettled.
+/// Starts sent to the runner's current instance, and unsettled starts of former instances.
 #[derive(Debug, Default)]
 pub struct UnsettledStarts {
     sent: HashMap<RunKey, StartAttempts>,
-    /// Starts of former lives, with the time up to which they wait for the next one.
+    /// Starts of former instances, with the time until which they wait for the successor.
     inherited: HashMap<RunKey, Instant>,
 }
 
 impl UnsettledStarts {
-    /// Takes note of a try that is about to be sent.
+    /// Records that an attempt is about to be sent.
     ///
     /// ```
     /// use std::time::Instant;
@@ -59,11 +63,12 @@
     /// ```
     pub fn on_sending(&mut self, key: &RunKey, now: Instant) {
         let start = self.sent.entry(key.clone()).or_default();
-        start.unanswered = start.last.or(start.unanswered);
-        start.last = Some(now);
+        start.unanswered_sent_at = start.last_sent_at.or(start.unanswered_sent_at);
+        start.last_sent_at = Some(now);
     }
 
-    /// Takes note that a runner has answered the last try, when `newest` was the newest look.
+    /// Records that a runner has responded to the last attempt when `newest_poll` was the newest
+    /// poll.
     ///
     /// ```
     /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
@@ -72,12 +77,12 @@
     /// ```
     pub fn on_response(&mut self, key: &RunKey, newest_poll: PollNumber) {
         if let Some(start) = self.sent.get_mut(key) {
-            start.last = None;
+            start.last_sent_at = None;
             start.answered_after = Some(newest_poll);
         }
     }
 
-    /// Takes note that the last try never left.
+    /// Records that the last attempt was never sent.
     ///
     /// ```
     /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
@@ -86,13 +91,14 @@
     /// ```
     pub fn on_not_sent(&mut self, key: &RunKey) {
         if let Some(start) = self.sent.get_mut(key) {
-            start.last = None;
+            start.last_sent_at = None;
         }
     }
 
-    /// Takes note that the present life has answered a look, and which runs it shows. Answers that came before the look was sent were
-    /// its own; and as it refuses what was meant for lives before from now on, only what it shows is left of those. Says whether some
-    /// of those are settled by that.
+    /// Records that the current instance has answered a poll, and which runs it lists. Responses
+    /// that arrived before the poll was sent came from this instance. From now on it rejects calls
+    /// meant for former instances, so starts of those that it does not list are settled. Returns
+    /// whether there were any.
     ///
     /// ```
     /// use std::time::Instant;
@@ -121,7 +127,8 @@
         self.inherited.len() < before
     }
 
-    /// Takes note that the connection of a look broke as the present life ended: answers that came before were its own.
+    /// Records that the connection of a poll broke as the current instance ended: responses that
+    /// arrived before came from that instance.
     ///
     /// ```
     /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().on_broken_poll();
@@ -132,29 +139,35 @@
         }
     }
 
-    /// Takes note that the present life has ended; another one may follow under its id.
+    /// Records that the current instance has ended and a successor may follow under its id.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().end_instance(Instant::now());
+    /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
+    ///
+    /// UnsettledStarts::default().end_instance(Instant::now());
     /// ```
     pub fn end_instance(&mut self, now: Instant) {
         let sent = self.sent.drain().filter(|(_, start)| start.is_unsettled(now));
         self.inherited.extend(sent.map(|(key, _)| (key, now + MAX_SUCCESSOR_WAIT)));
     }
 
-    /// Forgets what was sent to the present life, which has ended; none follows under its id.
+    /// Discards the starts sent to the current instance, which has ended without a successor under
+    /// its id.
     ///
     /// ```
-    /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().discard_instance();
+    /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
+    ///
+    /// UnsettledStarts::default().discard_instance();
     /// ```
     pub fn discard_instance(&mut self) {
         self.sent.clear();
     }
 
-    /// Takes note that a call for the next life found nobody. It is waited for no longer than that: time that this agent stood still
-    /// shows nothing of it.
+    /// Records that nothing listened when the successor was polled, and discards starts whose wait
+    /// is over. The wait is checked only at such a poll, since time during which this agent was
+    /// suspended says nothing about the successor.
     ///
     /// ```
     /// use std::time::Duration;
@@ -175,7 +188,7 @@
         self.inherited.retain(|_, until| now < *until);
     }
 
-    /// Takes note that the next life is looked for no longer.
+    /// Records that the successor is no longer polled.
     ///
     /// ```
     /// greengagearch::process::node::unsettled_starts::UnsettledStarts::default().stop_waiting();
@@ -184,7 +197,7 @@
         self.inherited.clear();
     }
 
-    /// Runs given to former lives that must not start elsewhere yet.
+    /// Returns the runs sent to former instances that must not start elsewhere yet.
     ///
     /// ```
     /// use greengagearch::process::node::unsettled_starts::UnsettledStarts;
