--- a/src/process/node/instance_recorder.rs
+++ b/src/process/node/instance_recorder.rs
@@ -30,7 +30,8 @@
 /// wait for the leases.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Writes the row of this host, with the content that it has read or written last.
+/// Records the runner's instances in the row of this host, and holds the content of the row that
+/// was read or written last.
 pub struct InstanceRecorder {
     shared: Arc<NodeShared>,
     store: Arc<dyn RowStore>,
--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -87,8 +87,8 @@
     }
 
     fn next_step(&self) -> StartStep {
-        let room = &self.order.traits.room;
-        self.shared.state().next_step(&self.target, &self.key, room, clock::now())
+        let resources = &self.order.traits.room;
+        self.shared.state().next_step(&self.target, &self.key, resources, clock::now())
     }
 
     /// Waits for a free slot, and sends the start if that is still the next step.
--- a/src/process/node/order_state.rs
+++ b/src/process/node/order_state.rs
@@ -29,13 +29,13 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        room: &RoomAmount,
+        resources: &RoomAmount,
         now: Instant,
     ) -> StartStep {
         if !self.is_current_target(target) {
             return StartStep::Finished(None);
         }
-        let conditions = self.start_conditions(key, room, now);
+        let conditions = self.start_conditions(key, resources, now);
         self.tracker.next_step(key, &conditions, now)
     }
 
@@ -45,13 +45,13 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        room: &RoomAmount,
+        resources: &RoomAmount,
         now: Instant,
     ) -> Option<RunnerMillis> {
         if !self.is_current_target(target) {
             return None;
         }
-        let conditions = self.start_conditions(key, room, now);
+        let conditions = self.start_conditions(key, resources, now);
         let lease_end = self.tracker.begin_attempt(key, &conditions, now)?;
         self.lease.on_sent();
         self.recent_starts.on_sending(key, now);
@@ -118,23 +118,29 @@
     /// Returns whether the runner's newest capacity holds a run in addition to all that it lists or
     /// is about to start. A run that is being stopped counts until it has ended. A start may have
     /// been decided before the capacity shrank, and waited for the store.
-    pub fn has_room(&self, key: &RunKey, room: &RoomAmount) -> bool {
+    pub fn has_capacity(&self, key: &RunKey, resources: &RoomAmount) -> bool {
         let Some(runner) = self.instances.current() else {
             return false;
         };
         let others: BTreeSet<&RunKey> =
             self.present.iter().chain(self.tracker.starting()).collect();
         let others = others.into_iter().filter(|other| *other != key);
-        let rooms = others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.room);
-        let used = rooms.fold(*room, |used, room| used.plus(room));
+        let reserved =
+            others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.room);
+        let used = reserved.fold(*resources, |used, other| used.plus(other));
         runner.status.capacity.contains(&used)
     }
 
-    fn start_conditions(&self, key: &RunKey, room: &RoomAmount, now: Instant) -> StartConditions {
+    fn start_conditions(
+        &self,
+        key: &RunKey,
+        resources: &RoomAmount,
+        now: Instant,
+    ) -> StartConditions {
         let may_start = self.may_start(now) == Some(true);
         StartConditions {
             is_draining: self.is_draining(),
-            has_room: self.has_room(key, room),
+            has_capacity: self.has_capacity(key, resources),
             lease_end: self.lease_end().filter(|_| may_start),
         }
     }
--- a/src/process/node/order_tracker.rs
+++ b/src/process/node/order_tracker.rs
@@ -104,7 +104,7 @@
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// let mut tracker = OrderTracker::default();
     /// tracker.accept_start(&key, false, now);
-    /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
+    /// let conditions = StartConditions { is_draining: false, has_capacity: true, lease_end: Some(9) };
     /// assert_eq!(tracker.next_step(&key, &conditions, now), StartStep::Send);
     /// tracker.accept_stop(&key);
     /// assert_eq!(tracker.next_step(&key, &conditions, now), StartStep::Finished(None));
@@ -140,7 +140,7 @@
     ///
     /// let now = Instant::now();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// let conditions = StartConditions { is_draining: false, has_room: true, lease_end: Some(9) };
+    /// let conditions = StartConditions { is_draining: false, has_capacity: true, lease_end: Some(9) };
     /// let mut tracker = OrderTracker::default();
     /// tracker.accept_start(&key, false, now);
     /// tracker.accept_stop(&key);
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -32,7 +32,7 @@
     /// Whether the runner is draining.
     pub is_draining: bool,
     /// Whether the runner has enough free capacity.
-    pub has_room: bool,
+    pub has_capacity: bool,
     /// Time up to which runs may continue; `None` if too little of the lease is left for a start.
     pub lease_end: Option<RunnerMillis>,
 }
@@ -162,7 +162,7 @@
         if conditions.is_draining {
             return Some(RejectReason::Leaving);
         }
-        if !conditions.has_room {
+        if !conditions.has_capacity {
             return Some(RejectReason::Room);
         }
         self.is_lease_overdue(conditions, now).then_some(RejectReason::Late)
@@ -178,7 +178,7 @@
         if conditions.is_draining {
             return Some(RejectReason::Leaving);
         }
-        if !conditions.has_room {
+        if !conditions.has_capacity {
             return Some(RejectReason::Room);
         }
         let is_final = |rejection: &StartRejection| {
--- a/src/process/node/recent_starts.rs
+++ b/src/process/node/recent_starts.rs
@@ -1,5 +1,5 @@
-//! The runs that the runner has started recently, to report which of them were young when its
-//! instance crashed.
+//! The runs that the runner has started recently, to report which of them were young (see
+//! [`YOUNG_SPAN`]) when its instance crashed.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/src/process/node/runner_instances.rs
+++ b/src/process/node/runner_instances.rs
@@ -32,7 +32,7 @@
     former: VecDeque<InstanceId>,
     /// Instances that earlier agents on this host have recorded. Once the current instance
     /// responds, all others have ended.
-    stored_earlier: Vec<InstanceId>,
+    recorded_earlier: Vec<InstanceId>,
     /// The last instance until its successor under the same id registers, and the time until which
     /// polls of that successor may go without a response.
     predecessor: Option<(RegisteredRunner, Instant)>,
@@ -130,15 +130,15 @@
             // The known instance has answered a poll sent after the heartbeat of the candidate.
             self.add_former(stale.status.instance);
         }
-        self.end_stored_earlier()
+        self.end_recorded_earlier()
     }
 
     /// A host has one instance of a runner at a time, so once one responds, the earlier ones have
     /// ended. Rows of a version without start times name instances by their runner's id, which may
     /// mean the current one.
-    fn end_stored_earlier(&mut self) -> bool {
+    fn end_recorded_earlier(&mut self) -> bool {
         let mut has_ended = false;
-        for earlier in std::mem::take(&mut self.stored_earlier) {
+        for earlier in std::mem::take(&mut self.recorded_earlier) {
             let is_current = self
                 .current
                 .as_ref()
@@ -162,7 +162,7 @@
     /// assert_eq!(instances.former(), ["i-0"]);
     /// ```
     pub fn on_earlier(&mut self, instances: Vec<InstanceId>) {
-        self.stored_earlier = instances;
+        self.recorded_earlier = instances;
     }
 
     /// Records the crash of the current instance and its young runs. A runner that is draining or
--- a/src/process/node/runner_lease.rs
+++ b/src/process/node/runner_lease.rs
@@ -79,7 +79,7 @@
         self.last_response = now;
     }
 
-    /// Extends the lease that the planner has granted.
+    /// Records a grant of the planner up to `until`. A grant never shortens the lease.
     ///
     /// ```
     /// use std::time::Instant;
@@ -120,8 +120,8 @@
         self.sent_until = self.sent_until.max(self.granted_until);
     }
 
-    /// Returns whether the runner has not responded for too long to get a further lease, as a call
-    /// that is carried out late would extend it.
+    /// Returns whether the runner has not responded for so long that it gets no further lease: a
+    /// call that is carried out late must not extend it.
     ///
     /// ```
     /// use std::time::Duration;
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -120,22 +120,22 @@
         state.next_poll(wait, clock::now())
     };
     let response = shared.control.poll(target, request).await?;
-    let (steps, violations) = {
+    let (changes, violations) = {
         let mut state = shared.state();
         if !state.is_current_target(target) {
             return Ok(());
         }
         let now = clock::now();
-        let steps = {
+        let changes = {
             let state = &mut *state;
             state.pace.look(&response.running, &state.traits, now)
         };
         if state.on_poll_response(number, response, now) {
             shared.report_wakeup.notify_one();
         }
-        (steps, state.pace.take_long_over())
+        (changes, state.pace.take_long_over())
     };
-    for (violation, fills_percent) in violations {
+    for (violation, best_effort_percent) in violations {
         log_event(
             Level::Info,
             "task_over_target",
@@ -143,13 +143,13 @@
                 ("task", &violation.task),
                 ("tail_ms", &violation.tail_ms),
                 ("target_ms", &violation.target_ms),
-                ("fills_percent", &fills_percent),
+                ("fills_percent", &best_effort_percent),
             ],
         );
     }
-    for step in steps {
+    for change in changes {
         let (shared, target) = (shared.clone(), target.clone());
-        tokio::spawn(async move { pace(&shared, &target, step).await });
+        tokio::spawn(async move { set_pace(&shared, &target, change).await });
     }
     if request.lease_end.is_none() {
         // The lease arrives with the planner's next call.
@@ -158,17 +158,17 @@
     Ok(())
 }
 
-async fn pace(shared: &NodeShared, target: &RunnerTarget, step: PaceStep) {
-    let (task, run) = &step.key;
+async fn set_pace(shared: &NodeShared, target: &RunnerTarget, change: PaceStep) {
+    let (task, run) = &change.key;
     let slot = shared.order_slots.acquire().await;
-    let result = shared.control.pace(target, task, *run, step.percent).await;
+    let result = shared.control.pace(target, task, *run, change.percent).await;
     drop(slot);
     match &result {
-        Ok(()) => shared.state().pace.on_done(&step),
+        Ok(()) => shared.state().pace.on_done(&change),
         Err(RunnerError::NoAnswer { .. }) => {
-            shared.state().pace.on_unanswered(&step.key, clock::now());
+            shared.state().pace.on_unanswered(&change.key, clock::now());
         }
-        Err(_) => shared.state().pace.on_failed(&step.key),
+        Err(_) => shared.state().pace.on_failed(&change.key),
     }
     let outcome = result.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
     log_event(
@@ -177,8 +177,8 @@
         &[
             ("task", task),
             ("run", run),
-            ("percent", &step.percent),
-            ("pressure", &format!("{:.2}", step.pressure)),
+            ("percent", &change.percent),
+            ("pressure", &format!("{:.2}", change.pressure)),
             ("outcome", &outcome),
         ],
     );
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -24,8 +24,8 @@
         })
     }
 
-    /// Returns the address at which the runner's successor will listen, before it has registered. A
-    /// call with this token makes it reject calls meant for its predecessor.
+    /// Returns the target of polls of the runner's successor, before it has registered. A call with
+    /// this token makes the successor reject calls meant for its predecessor.
     pub fn successor_target(&self) -> Option<RunnerTarget> {
         self.target_of(self.instances.predecessor()?, 0)
     }
@@ -45,10 +45,10 @@
 
     /// Returns whether a target is still the current one.
     pub fn is_current_target(&self, target: &RunnerTarget) -> bool {
-        self.target().is_some_and(|present| {
-            present.instance == target.instance
-                && present.epoch == target.epoch
-                && present.address == target.address
+        self.target().is_some_and(|current| {
+            current.instance == target.instance
+                && current.epoch == target.epoch
+                && current.address == target.address
         })
     }
 
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -168,8 +168,8 @@
     }
 
     /// Records that the current instance rejects a poll: it is alive, and its leases are not
-    /// extended. Once its existing leases have surely expired, it runs nothing until it accepts
-    /// another one. Returns whether this expiry is new.
+    /// extended. Once its existing leases have surely expired, it runs nothing until it accepts a
+    /// poll again. Returns whether the leases are newly found to have expired.
     pub fn on_rejected_poll(&mut self, now: Instant) -> bool {
         let is_new = !self.have_leases_expired && self.lease.have_all_leases_expired(now);
         if is_new {
