--- a/src/external/runner_control.rs
+++ b/src/external/runner_control.rs
@@ -67,7 +67,7 @@
     Fenced,
     /// Another life of the runner answers at the address.
     #[snafu(display("another life of the runner answers"))]
-    OtherLife,
+    OtherInstance,
     /// Nobody listens at the runner's address on this host, so that no life of it runs there.
     #[snafu(display("the runner is not running"))]
     NotRunning,
--- a/src/platform/runner_client.rs
+++ b/src/platform/runner_client.rs
@@ -240,7 +240,7 @@
     };
     match status {
         StatusCode::OK => decode_answer(target, &body),
-        StatusCode::MISDIRECTED_REQUEST => Err(RunnerError::OtherLife),
+        StatusCode::MISDIRECTED_REQUEST => Err(RunnerError::OtherInstance),
         StatusCode::CONFLICT => Err(decode_refusal(target, &body)),
         StatusCode::BAD_REQUEST => Err(RunnerError::Rejected { reason: RejectReason::Malformed }),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -255,7 +255,7 @@
     let answer: T = serde_json::from_slice(body).map_err(|error| unreadable(&error))?;
     match is_meant(target, answer.started_at()) {
         true => Ok(answer),
-        false => Err(RunnerError::OtherLife),
+        false => Err(RunnerError::OtherInstance),
     }
 }
 
@@ -268,7 +268,7 @@
     // A refusal without a reason that is known counts as one for a malformed order.
     let refusal: WireRefusal = serde_json::from_slice(body).unwrap_or_default();
     if !is_meant(target, refusal.started_at) {
-        return RunnerError::OtherLife;
+        return RunnerError::OtherInstance;
     }
     let reason = match refusal.reason.as_str() {
         "fence" => return RunnerError::Fenced,
--- a/src/process/node/order_attempts.rs
+++ b/src/process/node/order_attempts.rs
@@ -159,6 +159,6 @@
         Ok(()) => "done",
         Err(RunnerError::NoAnswer { .. }) => "no_answer",
         Err(RunnerError::Rejected { .. }) => "refused",
-        Err(RunnerError::Fenced | RunnerError::OtherLife | RunnerError::NotRunning) => "other",
+        Err(RunnerError::Fenced | RunnerError::OtherInstance | RunnerError::NotRunning) => "other",
     }
 }
--- a/src/process/node/order_state.rs
+++ b/src/process/node/order_state.rs
@@ -83,7 +83,7 @@
                 self.unsettled.on_not_sent(key);
             }
             // Another instance may have carried out the start, so its outcome stays unknown.
-            Err(RunnerError::OtherLife) => self.recent_starts.on_not_started(key),
+            Err(RunnerError::OtherInstance) => self.recent_starts.on_not_started(key),
             Err(RunnerError::Fenced | RunnerError::Rejected { .. }) => {
                 self.recent_starts.on_not_started(key);
                 self.unsettled.on_response(key, newest_poll);
--- a/src/process/node/pending_start.rs
+++ b/src/process/node/pending_start.rs
@@ -230,7 +230,7 @@
 ) -> StartState {
     match response {
         // If another instance has started the run, polls of that instance show it.
-        Ok(()) | Err(RunnerError::Fenced | RunnerError::OtherLife) => {
+        Ok(()) | Err(RunnerError::Fenced | RunnerError::OtherInstance) => {
             StartState::Resolved(in_flight.resolve(newest_poll, None))
         }
         // The runner has seen this run or a later one of the task, so no attempt can start it any
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -79,7 +79,9 @@
     }
     let now = clock::now();
     let has_ended = match error {
-        RunnerError::OtherLife | RunnerError::NotRunning => state.on_crash(&target.instance, now),
+        RunnerError::OtherInstance | RunnerError::NotRunning => {
+            state.on_crash(&target.instance, now)
+        }
         RunnerError::NoAnswer { is_broken, .. } => state.on_no_response(*is_broken, now),
         RunnerError::Fenced => {
             state.on_fenced();
--- a/src/process/node/runner_targets.rs
+++ b/src/process/node/runner_targets.rs
@@ -34,7 +34,7 @@
     /// polled until it has registered.
     pub fn on_successor_response(&mut self, response: &Result<(), RunnerError>, now: Instant) {
         match response {
-            Ok(()) | Err(RunnerError::OtherLife | RunnerError::Fenced) => return,
+            Ok(()) | Err(RunnerError::OtherInstance | RunnerError::Fenced) => return,
             Err(RunnerError::Rejected { .. } | RunnerError::NoAnswer { .. }) => {}
             Err(RunnerError::NotRunning) => self.unsettled.on_successor_absent(now),
         }
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -38,7 +38,7 @@
     let second = first.restart(Duration::from_millis(10)).await;
     assert_matches!(
         client.poll(&before, PollRequest::default()).await,
-        Err(RunnerError::OtherLife)
+        Err(RunnerError::OtherInstance)
     );
     assert_matches!(client.poll(&target(&second), PollRequest::default()).await, Ok(_));
 }
--- a/tests/order_tries.rs
+++ b/tests/order_tries.rs
@@ -91,7 +91,7 @@
 fn tries_are_counted_by_order_and_outcome() {
     let metrics = ProcessMetrics::open();
     let mut start = tries_of(OrderKind::Start, "d.0.0.0");
-    let answers = [silence(), silence(), refusal(), Err(RunnerError::OtherLife), Ok(())];
+    let answers = [silence(), silence(), refusal(), Err(RunnerError::OtherInstance), Ok(())];
     answers.iter().for_each(|answer| start.record(&metrics, answer));
     tries_of(OrderKind::Stop, "d.0.0.0").record(&metrics, &refusal());
     let text = metrics.render();
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -194,7 +194,7 @@
             _ => false,
         };
         let answer = match &order {
-            _ if !is_there && life.is_alive => CallAnswer::OtherLife,
+            _ if !is_there && life.is_alive => CallAnswer::OtherInstance,
             _ if !is_there => CallAnswer::NotRunning,
             _ if is_refused => CallAnswer::Order(RunnerAnswer::Unwell),
             Order::Start { tried, lease_end } => {
@@ -245,7 +245,7 @@
         // The adapter sees that another life has answered than the one that was meant.
         let answer = match life == target.instance {
             true => CallAnswer::Lists(Some(present.lists(now))),
-            false => CallAnswer::OtherLife,
+            false => CallAnswer::OtherInstance,
         };
         self.at(1, Event::Returned { agent, run, target, order, answer });
     }
@@ -265,7 +265,7 @@
                 // Where a life listens, it answers, be it the one that is meant or another.
                 let told = match answer {
                     CallAnswer::Lists(_) => Ok(()),
-                    _ if one.life.is_alive => Err(RunnerError::OtherLife),
+                    _ if one.life.is_alive => Err(RunnerError::OtherInstance),
                     _ => Err(RunnerError::NotRunning),
                 };
                 one.state.on_successor_response(&told, now);
@@ -282,7 +282,7 @@
                         one.state.on_fenced();
                         60
                     }
-                    CallAnswer::OtherLife | CallAnswer::NotRunning if is_current_target => {
+                    CallAnswer::OtherInstance | CallAnswer::NotRunning if is_current_target => {
                         one.state.on_crash(&target.instance, now);
                         60
                     }
--- a/tests/planning_world/mod.rs
+++ b/tests/planning_world/mod.rs
@@ -256,7 +256,7 @@
 enum CallAnswer {
     Order(RunnerAnswer),
     Lists(Option<PollResponse>),
-    OtherLife,
+    OtherInstance,
     NotRunning,
 }
 
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -119,7 +119,7 @@
         CallAnswer::Order(RunnerAnswer::Done) => return Ok(()),
         CallAnswer::Order(RunnerAnswer::Fenced) => return Err(RunnerError::Fenced),
         CallAnswer::NotRunning => return Err(RunnerError::NotRunning),
-        CallAnswer::OtherLife | CallAnswer::Lists(_) => return Err(RunnerError::OtherLife),
+        CallAnswer::OtherInstance | CallAnswer::Lists(_) => return Err(RunnerError::OtherInstance),
         CallAnswer::Order(RunnerAnswer::Old) => RejectReason::Old,
         CallAnswer::Order(RunnerAnswer::Late) => RejectReason::Late,
         CallAnswer::Order(RunnerAnswer::Room) => RejectReason::Room,
