--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -17,7 +17,7 @@
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::progress::JobRecord;
 use greengagearch::workflow::spec::QueuePolicy;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -85,7 +85,7 @@
             instance: instance(worker),
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 16_000, memory_mib: 64_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 16_000, memory_mib: 64_000, accelerators: 0 },
             labels: vec!["a".to_string(), format!("r{}", worker / 8)],
             draining: false,
         };
@@ -139,7 +139,7 @@
 fn serving(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: RoomAmount { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
+        room: ResourceVector { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
         long_running: true,
         target_ms: TARGET_MS,
         image: format!("serving-{}", number % SERVING_IMAGES),
@@ -150,7 +150,7 @@
 fn filling(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: RoomAmount { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
+        room: ResourceVector { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
         estimate_ms: 2_200,
         fills: true,
         checkpoints: true,
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -16,7 +16,7 @@
 use crate::ids::RunNumber;
 use crate::ids::ServiceName;
 use crate::workflow::progress::RunEnd;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
@@ -68,7 +68,7 @@
     /// Its failure domain.
     pub domain: DomainName,
     /// What it can hold.
-    pub capacity: RoomAmount,
+    pub capacity: ResourceVector,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Whether it is leaving.
@@ -80,13 +80,13 @@
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::RunnerStatus;
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let status = RunnerStatus {
     ///     instance: "i-1".into(),
     ///     service: "s".into(),
     ///     domain: "d".into(),
-    ///     capacity: RoomAmount::default(),
+    ///     capacity: ResourceVector::default(),
     ///     labels: vec!["a".into(), "r1-2".into()],
     ///     draining: false,
     /// };
@@ -298,7 +298,7 @@
     /// Whether it fills what others leave.
     pub fills: bool,
     /// What it takes of the guarded capacity.
-    pub room: RoomAmount,
+    pub room: ResourceVector,
     /// What it adds at full pace to the loads of tasks that serve, by their images.
     pub effects: Vec<ImageEffect>,
     /// Tail latency of a task that serves when nothing loads it, in milliseconds; zero when not known.
@@ -311,14 +311,14 @@
     /// ```
     /// use greengagearch::connection::node_protocol::ImageEffect;
     /// use greengagearch::connection::node_protocol::TaskTraits;
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let traits = TaskTraits {
     ///     task: "a.0.0.0".parse().unwrap(),
     ///     image: "f".to_string(),
     ///     target_ms: 0,
     ///     fills: true,
-    ///     room: RoomAmount::default(),
+    ///     room: ResourceVector::default(),
     ///     effects: vec![ImageEffect { serving: "s".to_string(), added_permille: 40 }],
     ///     idle_tail_ms: 0,
     /// };
--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -29,7 +29,7 @@
 use crate::workflow::progress::JobEnd;
 use crate::workflow::progress::JobStatus;
 use crate::workflow::spec::QueuePolicy;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 
@@ -204,7 +204,7 @@
 fn decode_step(wire: WireStep) -> StepSpec {
     StepSpec {
         count: wire.count,
-        room: RoomAmount {
+        room: ResourceVector {
             millicores: wire.millicores,
             memory_mib: wire.memory_mib,
             accelerators: wire.accelerators,
--- a/src/platform/runner_registry.rs
+++ b/src/platform/runner_registry.rs
@@ -17,7 +17,7 @@
 use crate::ids::StartMillis;
 use crate::platform::life_name::life_name;
 use crate::process::node::known_runner::KnownRunner;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 
 /// Takes what runners say.
 pub trait RunnerRegistry: Send + Sync {
@@ -82,7 +82,7 @@
         instance: life_name(&runner, beat.started_at),
         service: beat.service,
         domain: beat.domain,
-        capacity: RoomAmount {
+        capacity: ResourceVector {
             millicores: beat.capacity.millicores,
             memory_mib: beat.capacity.memory_mib,
             accelerators: beat.capacity.accelerators,
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -10,7 +10,7 @@
 use crate::process::node::pending_start::StartConditions;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::state::NodeState;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::worker_board::RunKey;
 
 impl NodeState {
@@ -29,7 +29,7 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        room: &RoomAmount,
+        room: &ResourceVector,
         now: Instant,
     ) -> StartStep {
         if !self.is_target(target) {
@@ -44,7 +44,7 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        room: &RoomAmount,
+        room: &ResourceVector,
         now: Instant,
     ) -> Option<RunnerMillis> {
         if !self.is_target(target) {
@@ -115,7 +115,7 @@
 
     /// Whether the runner's newest capacity holds a run beside everything that it shows or is about to start; what is being
     /// stopped counts until it has ended. A start may have been decided before the capacity shrank, and waited for the store.
-    pub fn has_room(&self, key: &RunKey, room: &RoomAmount) -> bool {
+    pub fn has_room(&self, key: &RunKey, room: &ResourceVector) -> bool {
         let Some(runner) = self.lives.present() else {
             return false;
         };
@@ -126,7 +126,12 @@
         runner.status.capacity.contains(&used)
     }
 
-    fn start_conditions(&self, key: &RunKey, room: &RoomAmount, now: Instant) -> StartConditions {
+    fn start_conditions(
+        &self,
+        key: &RunKey,
+        room: &ResourceVector,
+        now: Instant,
+    ) -> StartConditions {
         let is_open = self.may_start(now) == Some(true);
         StartConditions {
             is_draining: self.is_draining(),
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -4,7 +4,7 @@
 
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 
 /// Pace at which a task that fills counts as held up, in percent.
 const SLOW_PERCENT: u32 = 30;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AssignedRun {
     /// What it takes of the guarded capacity.
-    pub counted: RoomAmount,
+    pub counted: ResourceVector,
     /// Processor time that it would use at most, in thousandths of a core.
     pub millicores: u64,
     /// Whether it fills what others leave.
--- a/src/workflow/hopeless_needs.rs
+++ b/src/workflow/hopeless_needs.rs
@@ -7,7 +7,7 @@
 use crate::ids::ServiceName;
 use crate::workflow::placement::PlacementNeed;
 use crate::workflow::placement::RiskLimit;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 
 /// What was not found in a round.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     required_label: String,
     /// Of tasks that fill: their image, and how far they may go.
     filling: Option<(ImageName, RiskLimit)>,
-    room: RoomAmount,
+    room: ResourceVector,
 }
 
 impl HopelessNeeds {
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_gathering.rs
@@ -20,7 +20,7 @@
 use crate::workflow::serving_layout::ServingLayout;
 use crate::workflow::serving_layout::lasting_room;
 use crate::workflow::serving_layout::serving_runs;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
@@ -125,7 +125,7 @@
             .workers
             .iter()
             .filter(|(other, worker)| other.as_str() != instance && worker.serving() > 0);
-        let mut rooms: BTreeMap<&InstanceId, RoomAmount> =
+        let mut rooms: BTreeMap<&InstanceId, ResourceVector> =
             others.map(|(other, worker)| (other, worker.lasting_room)).collect();
         let Some(worker) = self.board.get(instance) else {
             return false;
--- a/src/workflow/room_hold.rs
+++ b/src/workflow/room_hold.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 
@@ -15,7 +15,7 @@
 struct RoomHold {
     task: TaskName,
     /// Guarded capacity.
-    room: RoomAmount,
+    room: ResourceVector,
     /// Processor time that it is to fill, in thousandths of a core.
     filling: u64,
     until: Instant,
@@ -89,13 +89,13 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let holds = greengagearch::workflow::room_hold::RoomHolds::default();
-    /// let room = RoomAmount { millicores: 100, memory_mib: 10, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 100, memory_mib: 10, accelerators: 0 };
     /// assert_eq!(holds.leave(room, &"a.0.0.0".parse().unwrap(), Instant::now()), room);
     /// ```
-    pub fn leave(&self, room: RoomAmount, task: &TaskName, now: Instant) -> RoomAmount {
+    pub fn leave(&self, room: ResourceVector, task: &TaskName, now: Instant) -> ResourceVector {
         self.others(task, now).fold(room, |room, hold| room.minus(&hold.room))
     }
 
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::InstanceId;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::worker_board::RunKey;
 use crate::workflow::worker_board::WorkerBoard;
 use crate::workflow::worker_entry::WorkerEntry;
@@ -21,7 +21,7 @@
     /// Tasks that serve, by their job.
     jobs: BTreeMap<String, usize>,
     /// Guarded capacity that tasks that last leave; what else runs there ends within seconds.
-    pub lasting_room: RoomAmount,
+    pub lasting_room: ResourceVector,
 }
 
 impl LayoutWorker {
@@ -116,7 +116,7 @@
 }
 
 /// Guarded capacity of a worker that tasks that last leave.
-pub(crate) fn lasting_room(worker: &WorkerEntry) -> RoomAmount {
+pub(crate) fn lasting_room(worker: &WorkerEntry) -> ResourceVector {
     let capacity = worker.status.as_ref().map(|status| status.capacity).unwrap_or_default();
     let lasting = worker.assigned.values().filter(|run| run.long_running);
     lasting.fold(capacity, |room, run| room.minus(&run.counted))
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -13,7 +13,7 @@
 
 /// Resources that a task asks for, or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomAmount {
+pub struct ResourceVector {
     /// Processor time in thousandths of a core.
     #[serde(rename = "c", alias = "millicores", default)]
     pub millicores: u64,
@@ -25,16 +25,16 @@
     pub accelerators: u64,
 }
 
-impl RoomAmount {
+impl ResourceVector {
     /// Whether `other` fits into this amount.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
     /// assert!(room.contains(&room));
     /// ```
-    pub fn contains(&self, other: &RoomAmount) -> bool {
+    pub fn contains(&self, other: &ResourceVector) -> bool {
         other.millicores <= self.millicores
             && other.memory_mib <= self.memory_mib
             && other.accelerators <= self.accelerators
@@ -43,13 +43,13 @@
     /// The sum of both amounts.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
     /// assert_eq!(room.plus(&room).millicores, 1_000);
     /// ```
-    pub fn plus(&self, other: &RoomAmount) -> RoomAmount {
-        RoomAmount {
+    pub fn plus(&self, other: &ResourceVector) -> ResourceVector {
+        ResourceVector {
             millicores: self.millicores + other.millicores,
             memory_mib: self.memory_mib + other.memory_mib,
             accelerators: self.accelerators + other.accelerators,
@@ -59,13 +59,13 @@
     /// What is left of this amount after `other`; never below zero.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
-    /// assert_eq!(room.minus(&room), RoomAmount::default());
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// assert_eq!(room.minus(&room), ResourceVector::default());
     /// ```
-    pub fn minus(&self, other: &RoomAmount) -> RoomAmount {
-        RoomAmount {
+    pub fn minus(&self, other: &ResourceVector) -> ResourceVector {
+        ResourceVector {
             millicores: self.millicores.saturating_sub(other.millicores),
             memory_mib: self.memory_mib.saturating_sub(other.memory_mib),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -80,7 +80,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What one task takes of a worker.
-    pub room: RoomAmount,
+    pub room: ResourceVector,
     /// Rough estimate of a task's duration, in milliseconds.
     pub estimate_ms: u64,
     /// Steps whose tasks must all be done first.
@@ -128,16 +128,16 @@
     /// What a task takes of the capacity that a worker guards.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     /// use greengagearch::workflow::spec::StepSpec;
     ///
-    /// let room = RoomAmount { millicores: 900, memory_mib: 10, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
     /// let step = StepSpec { room, fills: true, ..StepSpec::default() };
     /// assert_eq!(step.counted_room().millicores, 0);
     /// ```
-    pub fn counted_room(&self) -> RoomAmount {
+    pub fn counted_room(&self) -> ResourceVector {
         let millicores = if self.fills { 0 } else { self.room.millicores };
-        RoomAmount { millicores, ..self.room }
+        ResourceVector { millicores, ..self.room }
     }
 }
 
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -8,7 +8,7 @@
 use crate::workflow::assigned_run::AssignedRun;
 use crate::workflow::assigned_run::EndedFill;
 use crate::workflow::room_hold::RoomHolds;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
@@ -53,7 +53,7 @@
     pub is_over: bool,
     /// A run of a task that is suspected to crash its workers, beside which nothing else starts.
     pub isolated: Option<RunKey>,
-    pub(crate) used: RoomAmount,
+    pub(crate) used: ResourceVector,
 }
 
 impl WorkerEntry {
@@ -71,7 +71,7 @@
             holds: RoomHolds::default(),
             is_over: false,
             isolated: None,
-            used: RoomAmount::default(),
+            used: ResourceVector::default(),
         }
     }
 
@@ -84,7 +84,7 @@
     /// let entry = board.entry("i-1", Instant::now());
     /// assert_eq!(entry.free_room().millicores, 0);
     /// ```
-    pub fn free_room(&self) -> RoomAmount {
+    pub fn free_room(&self) -> ResourceVector {
         self.status.as_ref().map(|status| status.capacity.minus(&self.used)).unwrap_or_default()
     }
 
@@ -97,7 +97,7 @@
     /// let room = board.entry("i-1", Instant::now()).room_for(&"a.0.0.0".parse().unwrap(), Instant::now());
     /// assert_eq!(room.millicores, 0);
     /// ```
-    pub fn room_for(&self, task: &TaskName, now: Instant) -> RoomAmount {
+    pub fn room_for(&self, task: &TaskName, now: Instant) -> ResourceVector {
         self.holds.leave(self.free_room(), task, now)
     }
 
--- a/standins/src/laboratory/offered_job.rs
+++ b/standins/src/laboratory/offered_job.rs
@@ -1,7 +1,7 @@
 //! Jobs that callers hand in: what they declare and what their tasks really take.
 
 use greengagearch::workflow::spec::QueuePolicy;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 use rand::RngExt;
@@ -80,7 +80,11 @@
             durations.push(tasks.collect::<Vec<f64>>());
             specs.push(StepSpec {
                 count,
-                room: RoomAmount { millicores, memory_mib: FILLING_MEMORY_MIB, accelerators: 0 },
+                room: ResourceVector {
+                    millicores,
+                    memory_mib: FILLING_MEMORY_MIB,
+                    accelerators: 0,
+                },
                 estimate_ms: (work_ms * estimate_off) as u64,
                 after: number.checked_sub(1).into_iter().collect(),
                 checkpoints: true,
@@ -152,7 +156,7 @@
     let millicores = draw(rng, SERVING_MILLICORES).clamp(1_000.0, 5_100.0) as u64;
     let step = StepSpec {
         count: SERVING_TASKS,
-        room: RoomAmount { millicores, memory_mib: SERVING_MEMORY_MIB, accelerators: 0 },
+        room: ResourceVector { millicores, memory_mib: SERVING_MEMORY_MIB, accelerators: 0 },
         estimate_ms: 320,
         long_running: true,
         image: format!("serve-{}", rng.random_range(0..SERVING_IMAGES)),
--- a/standins/src/laboratory/shared_fleet.rs
+++ b/standins/src/laboratory/shared_fleet.rs
@@ -8,7 +8,7 @@
 use greengagearch::workflow::plan_decision::PlanDecision;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::progress::JobRecord;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::task_name::TaskName;
 use rand::RngExt;
@@ -31,7 +31,8 @@
 /// Time in which what serves comes to work before jobs that fill are offered.
 const LEAD: Duration = Duration::from_secs(8);
 /// Processors and memory of a worker; each third one has half as much more.
-const WORKER: RoomAmount = RoomAmount { millicores: 16_000, memory_mib: 64_000, accelerators: 0 };
+const WORKER: ResourceVector =
+    ResourceVector { millicores: 16_000, memory_mib: 64_000, accelerators: 0 };
 /// Wall clock at the beginning, in milliseconds: any time will do.
 const WALL_MS: u64 = 1_000_000;
 
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -15,7 +15,7 @@
 use greengagearch::connection::node_protocol::TaskTraits;
 use greengagearch::workflow::pacing::PaceControl;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use greengagearch::workflow::worker_board::RunKey;
 use rand::RngExt;
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct SharedWorker {
     name: String,
-    room: RoomAmount,
+    room: ResourceVector,
     runs: BTreeMap<RunKey, WorkerRun>,
     control: PaceControl,
     traits: HashMap<TaskName, TaskTraits>,
@@ -110,13 +110,13 @@
     /// A worker on which nothing runs; its agent looks first at `look_due`.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     /// use greengagearch_standins::laboratory::shared_worker::SharedWorker;
     ///
-    /// let worker = SharedWorker::open("w-1", RoomAmount::default(), std::time::Duration::ZERO);
+    /// let worker = SharedWorker::open("w-1", ResourceVector::default(), std::time::Duration::ZERO);
     /// assert_eq!(worker.tally.filled, 0.0);
     /// ```
-    pub fn open(name: &str, room: RoomAmount, look_due: Duration) -> SharedWorker {
+    pub fn open(name: &str, room: ResourceVector, look_due: Duration) -> SharedWorker {
         SharedWorker {
             name: name.to_string(),
             room,
--- a/standins/src/local_platform.rs
+++ b/standins/src/local_platform.rs
@@ -14,7 +14,7 @@
 use greengagearch::process::planning::settings::NodeSettings;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::stop_signal::StopSignal;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 
 use crate::platform_cluster::queue_configuration;
@@ -110,7 +110,7 @@
 
 /// A job of two steps: three tasks, and one after them.
 pub fn example_job(id: &str) -> JobRequest {
-    let room = RoomAmount { millicores: 300, memory_mib: 100, accelerators: 0 };
+    let room = ResourceVector { millicores: 300, memory_mib: 100, accelerators: 0 };
     let step = |count: u32, after: Vec<usize>| StepSpec {
         count,
         room,
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -14,7 +14,7 @@
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::pending_start::StartStep;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::worker_board::RunKey;
 
 use crate::linked_agent::LONG_LEASE;
@@ -27,7 +27,7 @@
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
 const TASK: &str = "a.0.0.0";
-const ROOM: RoomAmount = RoomAmount { millicores: 400, memory_mib: 100, accelerators: 0 };
+const ROOM: ResourceVector = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
 
 /// An agent with a runner, a planner, a lease and one order to start.
 struct Agent {
--- a/tests/job_forecast.rs
+++ b/tests/job_forecast.rs
@@ -8,7 +8,7 @@
 use greengagearch::workflow::job_forecast::JobForecast;
 use greengagearch::workflow::job_forecast::TaskPlace;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -22,7 +22,7 @@
 
 /// Tasks that fill, one a worker at a time by their memory.
 fn wide(count: u32, estimate_ms: u64) -> StepSpec {
-    let room = RoomAmount { millicores: 100, memory_mib: 3_000, accelerators: 0 };
+    let room = ResourceVector { millicores: 100, memory_mib: 3_000, accelerators: 0 };
     StepSpec { count, room, estimate_ms, fills: true, checkpoints: true, ..step(count, 100) }
 }
 
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -23,7 +23,7 @@
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::shared::NodeShared;
 use greengagearch::process::node::watcher::spawn_watcher;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -149,7 +149,7 @@
         fills: target_ms == 0,
         effects: if target_ms == 0 { vec![effect] } else { Vec::new() },
         idle_tail_ms: 25,
-        ..plain_traits(task, RoomAmount::default())
+        ..plain_traits(task, ResourceVector::default())
     }
 }
 
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -13,7 +13,7 @@
 use greengagearch::platform::life_name::life_name;
 use greengagearch::platform::runner_client::RunnerClient;
 use greengagearch::process::node::fence::fencing_token;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch_standins::platform_journal::RunJournal;
 use greengagearch_standins::platform_runner::PlatformRunner;
 
@@ -46,7 +46,7 @@
         image: String::new(),
         target_ms: 0,
         fills: false,
-        room: RoomAmount::default(),
+        room: ResourceVector::default(),
         effects: Vec::new(),
         idle_tail_ms: 0,
     };
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -15,7 +15,7 @@
 use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::process::node::known_runner::KnownRunner;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 
 /// Span of a lease that outlasts what a test plays.
 pub const LONG_LEASE: Duration = Duration::from_secs(9);
@@ -26,7 +26,7 @@
         instance: "i-1".to_string(),
         service: "s".to_string(),
         domain: "d".to_string(),
-        capacity: RoomAmount { millicores, memory_mib, accelerators: 0 },
+        capacity: ResourceVector { millicores, memory_mib, accelerators: 0 },
         labels: Vec::new(),
         draining: false,
     };
@@ -35,7 +35,7 @@
 }
 
 /// Traits of a task that neither serves nor fills.
-pub fn plain_traits(task: &str, room: RoomAmount) -> TaskTraits {
+pub fn plain_traits(task: &str, room: ResourceVector) -> TaskTraits {
     TaskTraits {
         task: task.parse().unwrap(),
         image: String::new(),
--- a/tests/node_link.rs
+++ b/tests/node_link.rs
@@ -20,7 +20,7 @@
 use greengagearch::process::planning::node_link::OrderParcel;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::planning::shared::PlannerShared;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use tarpc::context::Context;
 use tarpc::server::BaseChannel;
 use tarpc::server::Channel;
@@ -45,7 +45,7 @@
             instance: "i".to_string(),
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount::default(),
+            capacity: ResourceVector::default(),
             labels: Vec::new(),
             draining: false,
         };
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -19,7 +19,7 @@
 use greengagearch::process::node::known_runner::KnownRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::worker_board::RunKey;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
@@ -29,7 +29,7 @@
         instance: instance.to_string(),
         service: "s".to_string(),
         domain: "d".to_string(),
-        capacity: RoomAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 },
+        capacity: ResourceVector { millicores: 1_000, memory_mib: 1_000, accelerators: 0 },
         labels: Vec::new(),
         draining: false,
     };
@@ -76,7 +76,7 @@
         image: String::new(),
         target_ms: 0,
         fills: false,
-        room: RoomAmount { millicores: 400, memory_mib: 100, accelerators: 0 },
+        room: ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 },
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
@@ -106,7 +106,7 @@
 fn send(state: &mut NodeState, key: &RunKey, now: Instant) {
     state.begin_start(&order(key), now);
     let target = state.target().unwrap();
-    let sent = state.begin_try(&target, key, &RoomAmount::default(), now);
+    let sent = state.begin_try(&target, key, &ResourceVector::default(), now);
     assert!(sent.is_some(), "nothing speaks against the start");
 }
 
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -9,7 +9,7 @@
 use greengagearch::connection::node_protocol::TaskTraits;
 use greengagearch::workflow::pacing::PaceControl;
 use greengagearch::workflow::pacing::PaceStep;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 
 const IDLE_MS: f64 = 25.0;
@@ -103,7 +103,7 @@
         task: task.parse().unwrap(),
         image: "image".to_string(),
         target_ms,
-        room: RoomAmount::default(),
+        room: ResourceVector::default(),
         fills: target_ms == 0,
         effects,
         idle_tail_ms: IDLE_MS as u32,
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -12,7 +12,7 @@
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::room_hold::RoomHolds;
 use greengagearch::workflow::serving_layout::ServingLayout;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::worker_board::WorkerBoard;
@@ -32,7 +32,7 @@
 /// More tasks that fill than any worker takes in beside what serves.
 fn bulk(count: u32) -> WorkflowSpec {
     let image = "filling".to_string();
-    let room = RoomAmount { millicores: 1_000, memory_mib: 400, accelerators: 0 };
+    let room = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
     job(vec![StepSpec { fills: true, checkpoints: true, image, room, ..step(count, 1_000) }])
 }
 
@@ -124,8 +124,8 @@
     let now = Instant::now();
     let (mine, other) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
     let mut holds = RoomHolds::default();
-    let room = RoomAmount { millicores: 3_000, memory_mib: 100, accelerators: 0 };
-    let free = RoomAmount { millicores: 4_000, memory_mib: 400, accelerators: 0 };
+    let room = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
+    let free = ResourceVector { millicores: 4_000, memory_mib: 400, accelerators: 0 };
     let (step, span) = (StepSpec { room, ..StepSpec::default() }, Duration::from_secs(1));
     holds.keep(&mine, &step, now, span);
     assert_eq!(holds.leave(free, &mine, now), free);
@@ -159,7 +159,7 @@
             instance: worker.to_string(),
             service: planning::SERVICE.to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
             labels: vec![],
             draining: false,
         });
--- a/tests/planner_needs.rs
+++ b/tests/planner_needs.rs
@@ -2,7 +2,7 @@
 
 mod planning;
 
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 
 use crate::planning::PlannedFleet;
@@ -14,7 +14,7 @@
 }
 
 fn sized(memory_mib: u64) -> StepSpec {
-    let room = RoomAmount { millicores: 100, memory_mib, accelerators: 0 };
+    let room = ResourceVector { millicores: 100, memory_mib, accelerators: 0 };
     StepSpec { room, ..step(1, 100) }
 }
 
--- a/tests/planner_preemption.rs
+++ b/tests/planner_preemption.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -14,7 +14,7 @@
 
 /// A step whose tasks take half the memory of a worker.
 fn half(count: u32) -> StepSpec {
-    let room = RoomAmount { millicores: 100, memory_mib: 2_000, accelerators: 0 };
+    let room = ResourceVector { millicores: 100, memory_mib: 2_000, accelerators: 0 };
     StepSpec { count, room, ..step(count, 100) }
 }
 
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -22,7 +22,7 @@
 use greengagearch::workflow::progress::JobStatus;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::QueuePolicy;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::worker_board::RunKey;
@@ -112,7 +112,7 @@
             instance: instance.to_string(),
             service: SERVICE.to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
             labels: runner.labels.clone(),
             draining: runner.draining,
         };
@@ -311,7 +311,7 @@
 }
 
 pub fn step(count: u32, millicores: u64) -> StepSpec {
-    let room = RoomAmount { millicores, memory_mib: 100, accelerators: 0 };
+    let room = ResourceVector { millicores, memory_mib: 100, accelerators: 0 };
     StepSpec { count, room, estimate_ms: 500, ..StepSpec::default() }
 }
 
--- a/tests/planning_search.rs
+++ b/tests/planning_search.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 use greengagearch::workflow::spec::QueuePolicy;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -35,7 +35,7 @@
         advice: None,
     };
     let step = |count: u32, after: Vec<usize>| {
-        let room = RoomAmount { millicores: 400, memory_mib: 100, accelerators: 0 };
+        let room = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
         StepSpec { count, room, estimate_ms: 500, after, ..StepSpec::default() }
     };
     let spec = |steps: Vec<StepSpec>| WorkflowSpec {
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -62,7 +62,7 @@
             instance,
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 2_000, memory_mib: 4_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 2_000, memory_mib: 4_000, accelerators: 0 },
             labels: vec!["a".to_string(), format!("r{agent}")],
             draining: false,
         };
--- a/tests/planning_world/mod.rs
+++ b/tests/planning_world/mod.rs
@@ -38,7 +38,7 @@
 use greengagearch::workflow::progress::JobProgress;
 use greengagearch::workflow::progress::JobRecord;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::task_name::TaskName;
 use greengagearch::workflow::worker_board::RunKey;
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct StartTry {
     pub(super) key: RunKey,
-    pub(super) room: RoomAmount,
+    pub(super) room: ResourceVector,
 }
 
 /// An order that waits for its turn.
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -29,7 +29,7 @@
 use greengagearch::process::node::orders::take_orders;
 use greengagearch::process::node::shared::NodeShared;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::timeout;
 
@@ -88,7 +88,7 @@
 }
 
 fn traits(task: &str, millicores: u64) -> TaskTraits {
-    plain_traits(task, RoomAmount { millicores, memory_mib: 100, accelerators: 0 })
+    plain_traits(task, ResourceVector { millicores, memory_mib: 100, accelerators: 0 })
 }
 
 fn start(number: u64, task: &str, millicores: u64) -> OrderCall {
--- a/tests/unknown_lease.rs
+++ b/tests/unknown_lease.rs
@@ -7,7 +7,7 @@
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::plan_decision::PlanDecision;
 use greengagearch::workflow::planner::Planner;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 
 const LIFE: &str = "i-1@2";
 
@@ -16,7 +16,7 @@
         instance: LIFE.to_string(),
         service: "s".to_string(),
         domain: "d".to_string(),
-        capacity: RoomAmount::default(),
+        capacity: ResourceVector::default(),
         labels: Vec::new(),
         draining: false,
     };
