--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -26,7 +26,7 @@
 pub mod planner_reports;
 pub mod planner_rounds;
 pub mod progress;
-pub mod room_hold;
+pub mod reservation;
 mod run_pace;
 pub mod serving_layout;
 pub mod spec;
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -217,7 +217,7 @@
     if step.long_running && view.emptied == Some(instance) {
         cost += DECIDED_COST;
     }
-    if worker.holds.is_for(need.task, view.now) {
+    if worker.reservations.has_reservation(need.task, view.now) {
         cost -= DECIDED_COST;
     }
     Some(cost)
@@ -243,7 +243,8 @@
 ) -> Option<f64> {
     let room = worker.fill_room();
     let wanted = need.step.room.millicores as f64;
-    let demand = worker.fill_demand() + worker.holds.filling(need.task, view.now);
+    let demand =
+        worker.fill_demand() + worker.reservations.best_effort_millicores(need.task, view.now);
     let is_alone = demand == 0.0 && room > 0.0;
     if room - demand < wanted * LEAST_FILL && !is_alone && need.risk != RiskLimit::Any {
         return None;
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -55,7 +55,7 @@
     pub(crate) fn move_run(&mut self, from: &str, key: RunKey, to: &str, why: MoveReason) {
         let step = self.jobs.get(&key.0.job).and_then(|entry| entry.step(&key.0)).cloned();
         if let (Some(step), Some(worker)) = (step, self.board.get_mut(to)) {
-            worker.holds.keep(&key.0, &step, self.now, HOLD_SPAN);
+            worker.reservations.reserve(&key.0, &step, self.now, HOLD_SPAN);
         }
         self.decisions.push(PlanDecision::Moved {
             task: key.0.clone(),
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -79,7 +79,7 @@
     /// assert!(board.kept_tasks(Instant::now()).is_empty());
     /// ```
     pub fn kept_tasks(&self, now: Instant) -> HashSet<TaskName> {
-        self.workers.values().flat_map(|worker| worker.holds.tasks(now)).cloned().collect()
+        self.workers.values().flat_map(|worker| worker.reservations.tasks(now)).cloned().collect()
     }
 
     /// Gives a run to a worker.
@@ -122,7 +122,7 @@
             work: None,
         };
         worker.used = worker.used.plus(&run.counted);
-        worker.holds.drop_for(&key.0);
+        worker.reservations.release(&key.0);
         if run.fills {
             worker.fills_changed = Some(now);
         }
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -7,7 +7,7 @@
 use crate::connection::node_protocol::RunnerStatus;
 use crate::workflow::assigned_run::AssignedRun;
 use crate::workflow::assigned_run::EndedFill;
-use crate::workflow::room_hold::RoomHolds;
+use crate::workflow::reservation::Reservations;
 use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
@@ -48,7 +48,7 @@
     /// Whether its assigned runs have to be compared with what its agent knows, after a new link.
     pub resync: bool,
     /// Room that is kept for tasks that are on their way.
-    pub holds: RoomHolds,
+    pub reservations: Reservations,
     /// Whether its life is over. What is still assigned to it may be begun by the next life of its runner.
     pub is_over: bool,
     /// A run of a task that is suspected to crash its workers, beside which nothing else starts.
@@ -68,7 +68,7 @@
             ended_fills: Vec::new(),
             described: None,
             resync: true,
-            holds: RoomHolds::default(),
+            reservations: Reservations::default(),
             is_over: false,
             isolated: None,
             used: ResourceVector::default(),
@@ -98,7 +98,7 @@
     /// assert_eq!(room.millicores, 0);
     /// ```
     pub fn room_for(&self, task: &TaskName, now: Instant) -> ResourceVector {
-        self.holds.leave(self.free_room(), task, now)
+        self.reservations.available_to(self.free_room(), task, now)
     }
 
     /// Whether it may get new work at `now`.
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use greengagearch::connection::node_protocol::RunnerStatus;
-use greengagearch::workflow::room_hold::RoomHolds;
+use greengagearch::workflow::reservation::Reservations;
 use greengagearch::workflow::serving_layout::ServingLayout;
 use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
@@ -123,16 +123,16 @@
 fn room_is_kept_for_one_task_and_for_a_time() {
     let now = Instant::now();
     let (mine, other) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
-    let mut holds = RoomHolds::default();
+    let mut reservations = Reservations::default();
     let room = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
     let free = ResourceVector { millicores: 4_000, memory_mib: 400, accelerators: 0 };
     let (step, span) = (StepSpec { room, ..StepSpec::default() }, Duration::from_secs(1));
-    holds.keep(&mine, &step, now, span);
-    assert_eq!(holds.leave(free, &mine, now), free);
-    assert_eq!(holds.leave(free, &other, now).millicores, 1_000);
-    assert_eq!(holds.leave(free, &other, now + span), free);
-    holds.drop_for(&mine);
-    assert_eq!(holds.leave(free, &other, now), free);
+    reservations.reserve(&mine, &step, now, span);
+    assert_eq!(reservations.available_to(free, &mine, now), free);
+    assert_eq!(reservations.available_to(free, &other, now).millicores, 1_000);
+    assert_eq!(reservations.available_to(free, &other, now + span), free);
+    reservations.release(&mine);
+    assert_eq!(reservations.available_to(free, &other, now), free);
 }
 
 #[test]
@@ -140,12 +140,12 @@
     let now = Instant::now();
     let (first, second) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
     let (step, span) = (StepSpec::default(), Duration::from_secs(1));
-    let mut holds = RoomHolds::default();
-    holds.keep(&first, &step, now, span);
-    holds.keep(&second, &step, now + span, span);
-    let mut alone = RoomHolds::default();
-    alone.keep(&second, &step, now + span, span);
-    assert_eq!(holds, alone);
+    let mut reservations = Reservations::default();
+    reservations.reserve(&first, &step, now, span);
+    reservations.reserve(&second, &step, now + span, span);
+    let mut alone = Reservations::default();
+    alone.reserve(&second, &step, now + span, span);
+    assert_eq!(reservations, alone);
 }
 
 #[test]
