--- a/src/platform/advice_client.rs
+++ b/src/platform/advice_client.rs
@@ -12,7 +12,7 @@
 use crate::platform::http_client::CallResult;
 use crate::platform::http_client::PlatformHttp;
 use crate::platform::life_name::runner_id;
-use crate::workflow::advice_book::AdviceQuestion;
+use crate::workflow::advice_cache::AdviceQuery;
 
 /// Time for an answer; the service takes calls of one host in turn, each for some time a worker.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
 
 #[async_trait]
 impl AdviceService for AdviceClient {
-    async fn advise(&self, question: &AdviceQuestion) -> Option<AdviceAnswer> {
+    async fn advise(&self, question: &AdviceQuery) -> Option<AdviceAnswer> {
         let (job, occurrence, step) = &question.step;
         let runners: Vec<&str> = question.workers.iter().map(|life| runner_id(life)).collect();
         let body = json!({ "Step": format!("{job}.{occurrence}.{step}"), "Workers": runners });
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here does input or output or reads a clock; times are arguments.
 
-pub mod advice_book;
+pub mod advice_cache;
 pub mod assigned_run;
 mod changed_jobs;
 pub mod disturbance;
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::InstanceId;
 use crate::process::suspicion::WorkerSuspicion;
-use crate::workflow::advice_book::AdviceBook;
+use crate::workflow::advice_cache::AdviceCache;
 use crate::workflow::disturbance::DisturbanceModel;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
@@ -87,7 +87,7 @@
     /// What images do to each other.
     pub disturbance: &'a DisturbanceModel,
     /// What the advice service has said.
-    pub advice: &'a AdviceBook,
+    pub advice: &'a AdviceCache,
     /// A worker that is emptied of what serves.
     pub emptied: Option<&'a str>,
     /// The time.
@@ -100,7 +100,7 @@
 /// use std::time::Instant;
 ///
 /// use greengagearch::process::suspicion::WorkerSuspicion;
-/// use greengagearch::workflow::advice_book::AdviceBook;
+/// use greengagearch::workflow::advice_cache::AdviceCache;
 /// use greengagearch::workflow::disturbance::DisturbanceModel;
 /// use greengagearch::workflow::placement::PlacementNeed;
 /// use greengagearch::workflow::placement::PlacementView;
@@ -125,7 +125,7 @@
 /// };
 /// let (board, suspicion) = (WorkerBoard::default(), WorkerSuspicion::default());
 /// let disturbance = DisturbanceModel::default();
-/// let advice = AdviceBook::default();
+/// let advice = AdviceCache::default();
 /// let view = PlacementView {
 ///     board: &board,
 ///     suspicion: &suspicion,
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -15,8 +15,8 @@
 use crate::ids::InstanceId;
 use crate::ids::JobId;
 use crate::process::suspicion::WorkerSuspicion;
-use crate::workflow::advice_book::AdviceBook;
-use crate::workflow::advice_book::AdviceQuestion;
+use crate::workflow::advice_cache::AdviceCache;
+use crate::workflow::advice_cache::AdviceQuery;
 use crate::workflow::changed_jobs::ChangedJobs;
 use crate::workflow::disturbance::DisturbanceModel;
 use crate::workflow::plan_decision::PlanDecision;
@@ -47,8 +47,8 @@
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
     pub(crate) disturbance: DisturbanceModel,
-    pub(crate) advice: AdviceBook,
-    pub(crate) questions: Vec<AdviceQuestion>,
+    pub(crate) advice: AdviceCache,
+    pub(crate) questions: Vec<AdviceQuery>,
     pub(crate) dirty: ChangedJobs,
     pub(crate) held_starts: BTreeMap<JobId, Vec<(InstanceId, RunKey)>>,
     pub(crate) held_acks: BTreeMap<InstanceId, u64>,
@@ -80,7 +80,7 @@
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
             disturbance: DisturbanceModel::default(),
-            advice: AdviceBook::default(),
+            advice: AdviceCache::default(),
             questions: Vec::new(),
             dirty: ChangedJobs::default(),
             held_starts: BTreeMap::new(),
@@ -168,11 +168,11 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// assert!(planner.take_questions().is_empty());
     /// ```
-    pub fn take_questions(&mut self) -> Vec<AdviceQuestion> {
+    pub fn take_questions(&mut self) -> Vec<AdviceQuery> {
         std::mem::take(&mut self.questions)
     }
 
-    /// Takes in an answer of the advice service, see [`AdviceBook::on_answer`].
+    /// Takes in an answer of the advice service, see [`AdviceCache::on_answer`].
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -177,7 +177,7 @@
         });
         if is_over && !self.dirty.contains(job) {
             self.jobs.remove(job);
-            self.advice.forget(job);
+            self.advice.forget_job(job);
         }
     }
 
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -7,7 +7,7 @@
 use crate::ids::InstanceId;
 use crate::ids::JobId;
 use crate::ids::RunNumber;
-use crate::workflow::advice_book::StepKey;
+use crate::workflow::advice_cache::StepKey;
 use crate::workflow::hopeless_needs::HopelessNeeds;
 use crate::workflow::job_outlook::JobOutlook;
 use crate::workflow::placement::PlacementNeed;
@@ -112,7 +112,7 @@
         };
         let open = self.board.iter().filter(|(_, worker)| is_fit(worker));
         let workers = open.map(|(instance, _)| instance.clone()).collect();
-        self.questions.extend(self.advice.ask(step, workers, self.now));
+        self.questions.extend(self.advice.next_query(step, workers, self.now));
     }
 
     /// Steps whose turn has come.
