--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -8,7 +8,6 @@
 use crate::ids::JobId;
 use crate::ids::RunNumber;
 use crate::workflow::advice_cache::StepKey;
-use crate::workflow::hopeless_needs::HopelessNeeds;
 use crate::workflow::job_outlook::JobOutlook;
 use crate::workflow::placement::PlacementNeed;
 use crate::workflow::placement::PlacementView;
@@ -20,6 +19,7 @@
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_progress::RunAttempt;
+use crate::workflow::unplaceable_requests::UnplaceableRequests;
 use crate::workflow::urgency::JobUrgency;
 use crate::workflow::worker_entry::WorkerEntry;
 
@@ -55,9 +55,9 @@
         order.sort();
         let jobs: Vec<JobId> = order.into_iter().map(|(_, job)| job.clone()).collect();
         let kept = self.board.kept_tasks(self.now);
-        let mut hopeless = HopelessNeeds::default();
+        let mut unplaceable = UnplaceableRequests::default();
         let isolated = self.start_isolated();
-        let others = jobs.iter().map(|job| self.plan_job(job, &kept, &mut hopeless));
+        let others = jobs.iter().map(|job| self.plan_job(job, &kept, &mut unplaceable));
         isolated + others.sum::<usize>()
     }
 
@@ -65,7 +65,7 @@
         &mut self,
         job: &str,
         kept: &HashSet<TaskName>,
-        hopeless: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> usize {
         let mut started = 0;
         for (occurrence, step) in self.ready_steps(job) {
@@ -88,7 +88,8 @@
                 // Siblings that find no place say nothing of a task for which one is kept.
                 let (kept, others): (Vec<TaskName>, Vec<TaskName>) =
                     names.partition(|name| kept.contains(name));
-                self.start_kept(kept, &spec) + self.start_each(others.into_iter(), &spec, hopeless)
+                self.start_kept(kept, &spec)
+                    + self.start_each(others.into_iter(), &spec, unplaceable)
             };
             if spec.speculative && !spec.gang {
                 started += self.start_copies(job, occurrence, step, &spec);
@@ -169,11 +170,11 @@
         &mut self,
         names: impl Iterator<Item = TaskName>,
         spec: &StepSpec,
-        hopeless: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> usize {
         let mut started = 0;
         for name in names {
-            let Some(worker) = self.choose_if_hopeful(&name, spec, hopeless) else {
+            let Some(worker) = self.choose_if_hopeful(&name, spec, unplaceable) else {
                 // The tasks of a step are alike; where this one finds no room, none does.
                 self.displace_for(&name, spec);
                 break;
@@ -287,15 +288,15 @@
         &self,
         name: &TaskName,
         spec: &StepSpec,
-        hopeless: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> Option<InstanceId> {
         let need = self.need(name, spec, None, None)?;
-        if hopeless.covers(&need) {
+        if unplaceable.covers(&need) {
             return None;
         }
         let chosen = choose(&need, &self.placement_view());
         if chosen.is_none() {
-            hopeless.add(&need);
+            unplaceable.add(&need);
         }
         chosen
     }
--- a/src/workflow/hopeless_needs.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -11,12 +11,12 @@
 
 /// What was not found in a round.
 #[derive(Debug, Default)]
-pub(crate) struct HopelessNeeds {
-    known: Vec<HopelessNeed>,
+pub(crate) struct UnplaceableRequests {
+    known: Vec<UnplaceableRequest>,
 }
 
 #[derive(Debug)]
-struct HopelessNeed {
+struct UnplaceableRequest {
     service: ServiceName,
     required_label: String,
     /// Of tasks that fill: their image, and how far they may go.
@@ -24,7 +24,7 @@
     room: ResourceVector,
 }
 
-impl HopelessNeeds {
+impl UnplaceableRequests {
     /// Whether nothing will be found in this round.
     pub(crate) fn covers(&self, need: &PlacementNeed<'_>) -> bool {
         is_shared(need) && self.known.iter().any(|known| known.covers(need))
@@ -33,7 +33,7 @@
     /// Takes note that nothing was found.
     pub(crate) fn add(&mut self, need: &PlacementNeed<'_>) {
         if is_shared(need) {
-            self.known.push(HopelessNeed {
+            self.known.push(UnplaceableRequest {
                 service: need.service.to_string(),
                 required_label: need.step.required_label.clone(),
                 filling: filling_of(need).map(|(image, risk)| (image.to_string(), risk)),
@@ -43,7 +43,7 @@
     }
 }
 
-impl HopelessNeed {
+impl UnplaceableRequest {
     fn covers(&self, need: &PlacementNeed<'_>) -> bool {
         let filling = self.filling.as_ref().map(|(image, risk)| (image.as_str(), *risk));
         self.service == need.service
