--- a/src/workflow/learned_effects.rs
+++ b/src/workflow/learned_effects.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use crate::ids::ImageName;
-use crate::workflow::disturbance::DisturbanceModel;
-use crate::workflow::disturbance::Estimate;
+use crate::workflow::pair_interference::Estimate;
+use crate::workflow::pair_interference::PairInterferenceModel;
 
 /// What was learned of a pair of images.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,11 +40,11 @@
     pub least_tails: Vec<LeastTail>,
 }
 
-impl DisturbanceModel {
+impl PairInterferenceModel {
     /// What a successor should know.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.learned().pairs.is_empty());
     /// ```
     pub fn learned(&self) -> LearnedEffects {
@@ -66,15 +66,15 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::learned_effects::LearnedEffects;
     ///
-    /// let model = DisturbanceModel::from_learned(LearnedEffects::default(), Instant::now());
+    /// let model = PairInterferenceModel::from_learned(LearnedEffects::default(), Instant::now());
     /// assert_eq!(model.summary(), "");
     /// ```
-    pub fn from_learned(learned: LearnedEffects, now: Instant) -> DisturbanceModel {
+    pub fn from_learned(learned: LearnedEffects, now: Instant) -> PairInterferenceModel {
         let tails = learned.least_tails.into_iter().map(|tail| (tail.image, tail.tail_ms));
-        let mut model = DisturbanceModel::default();
+        let mut model = PairInterferenceModel::default();
         for pair in learned.pairs {
             let estimate = Estimate { value: pair.added_load, variance: pair.variance, at: now };
             model.pairs.entry(pair.serving).or_default().insert(pair.filling, estimate);
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -5,13 +5,13 @@
 pub mod advice_cache;
 pub mod assigned_run;
 mod changed_jobs;
-pub mod disturbance;
 pub mod grant;
 pub mod job_forecast;
 pub mod job_outlook;
 pub mod learned_effects;
 pub mod over_target;
 pub mod pacing;
+pub mod pair_interference;
 pub mod placement;
 pub mod plan_decision;
 pub mod planner;
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -1,7 +1,7 @@
 //! How fast tasks that fill may work beside tasks that serve.
 //!
 //! The tail of a serving task's response times must stay below its target. In terms of the load that a tail
-//! shows (see [`crate::workflow::disturbance`]) fills add up: what they may add is the load that is aimed at
+//! shows (see [`crate::workflow::pair_interference`]) fills add up: what they may add is the load that is aimed at
 //! less the load that is there without them. That one is what was measured less what the fills have added
 //! over the measured span, each by its image and its pace. The fills that add most are slowed first.
 
@@ -13,10 +13,10 @@
 
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
-use crate::workflow::disturbance::FIRST_ADDED;
-use crate::workflow::disturbance::FIRST_IDLE_SHARE;
 use crate::workflow::over_target::LongOver;
 use crate::workflow::over_target::OverTarget;
+use crate::workflow::pair_interference::FIRST_ADDED;
+use crate::workflow::pair_interference::FIRST_IDLE_SHARE;
 use crate::workflow::run_pace::RunPace;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
--- a/src/workflow/disturbance.rs
+++ b/src/workflow/pair_interference.rs
@@ -95,7 +95,7 @@
     /// Whether the task puts no target in danger.
     ///
     /// ```
-    /// use greengagearch::workflow::disturbance::PlacementRisk;
+    /// use greengagearch::workflow::pair_interference::PlacementRisk;
     ///
     /// assert!(PlacementRisk { pressure: 0.5, own: 0.1, is_unseen: false }.is_low());
     /// ```
@@ -106,7 +106,7 @@
 
 /// The learner.
 #[derive(Clone, Debug, Default)]
-pub struct DisturbanceModel {
+pub struct PairInterferenceModel {
     pub(crate) least_tails: BTreeMap<ImageName, f64>,
     /// By job and step, whose tasks swing alike.
     loads: BTreeMap<JobId, BTreeMap<u32, Estimate>>,
@@ -114,17 +114,17 @@
     pub(crate) pairs: BTreeMap<ImageName, BTreeMap<ImageName, Estimate>>,
 }
 
-impl DisturbanceModel {
+impl PairInterferenceModel {
     /// Learns from the tails that a worker has just reported.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
     /// let mut board = WorkerBoard::default();
-    /// DisturbanceModel::default().learn(board.entry("i-1", Instant::now()), Instant::now());
+    /// PairInterferenceModel::default().learn(board.entry("i-1", Instant::now()), Instant::now());
     /// ```
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
@@ -183,9 +183,9 @@
     /// Forgets the loads of a job that has ended.
     ///
     /// ```
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     ///
-    /// DisturbanceModel::default().forget_job("a");
+    /// PairInterferenceModel::default().forget_job("a");
     /// ```
     pub fn forget_job(&mut self, job: &str) {
         self.loads.remove(job);
@@ -196,7 +196,7 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::spec::StepSpec;
     /// use greengagearch::workflow::task_name::TaskName;
     /// use greengagearch::workflow::worker_board::WorkerBoard;
@@ -207,7 +207,7 @@
     /// let key: (TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
     /// board.assign("i-1", key.clone(), &step, now, now);
     /// let run = &board.get("i-1").unwrap().assigned[&key];
-    /// assert_eq!(DisturbanceModel::default().idle_tail(run), 10.0);
+    /// assert_eq!(PairInterferenceModel::default().idle_tail(run), 10.0);
     /// ```
     pub fn idle_tail(&self, run: &AssignedRun) -> f64 {
         let least = self.least_tails.get(&run.image);
@@ -217,10 +217,10 @@
     /// The tail of an image that serves without any load, in milliseconds; zero when none was seen.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
-    /// assert_eq!(model.idle_tail_of("x"), 0.0);
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
+    /// assert_eq!(model.idle_tail_of_image("x"), 0.0);
     /// ```
-    pub fn idle_tail_of(&self, image: &str) -> f64 {
+    pub fn idle_tail_of_image(&self, image: &str) -> f64 {
         self.least_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
     }
 
@@ -229,11 +229,11 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
     /// let mut board = WorkerBoard::default();
-    /// let risk = DisturbanceModel::default().risk(board.entry("i-1", Instant::now()), "x");
+    /// let risk = PairInterferenceModel::default().risk(board.entry("i-1", Instant::now()), "x");
     /// assert_eq!(risk.pressure, 0.0);
     /// ```
     pub fn risk(&self, worker: &WorkerEntry, image: &str) -> PlacementRisk {
@@ -260,7 +260,7 @@
     /// What one task of an image that fills adds to the loads of the images that it was seen beside.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.effects("x").is_empty());
     /// ```
     pub fn effects(&self, image: &str) -> Vec<ImageEffect> {
@@ -274,7 +274,7 @@
     /// All pairs that were learned, as `serving/filling=load`, for the log.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert_eq!(model.summary(), "");
     /// ```
     pub fn summary(&self) -> String {
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -6,7 +6,7 @@
 use crate::ids::InstanceId;
 use crate::process::suspicion::WorkerSuspicion;
 use crate::workflow::advice_cache::AdviceCache;
-use crate::workflow::disturbance::DisturbanceModel;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::WorkerBoard;
@@ -85,7 +85,7 @@
     /// Workers that fail what they start.
     pub suspicion: &'a WorkerSuspicion,
     /// What images do to each other.
-    pub disturbance: &'a DisturbanceModel,
+    pub interference: &'a PairInterferenceModel,
     /// What the advice service has said.
     pub advice: &'a AdviceCache,
     /// A worker that is emptied of what serves.
@@ -101,7 +101,7 @@
 ///
 /// use greengagearch::process::suspicion::WorkerSuspicion;
 /// use greengagearch::workflow::advice_cache::AdviceCache;
-/// use greengagearch::workflow::disturbance::DisturbanceModel;
+/// use greengagearch::workflow::pair_interference::PairInterferenceModel;
 /// use greengagearch::workflow::placement::PlacementNeed;
 /// use greengagearch::workflow::placement::PlacementView;
 /// use greengagearch::workflow::placement::RiskLimit;
@@ -124,12 +124,12 @@
 ///     not_on: None,
 /// };
 /// let (board, suspicion) = (WorkerBoard::default(), WorkerSuspicion::default());
-/// let disturbance = DisturbanceModel::default();
+/// let disturbance = PairInterferenceModel::default();
 /// let advice = AdviceCache::default();
 /// let view = PlacementView {
 ///     board: &board,
 ///     suspicion: &suspicion,
-///     disturbance: &disturbance,
+///     interference: &disturbance,
 ///     advice: &advice,
 ///     emptied: None,
 ///     now: Instant::now(),
@@ -256,7 +256,7 @@
     if worker.holds_fills_back() && need.risk != RiskLimit::Any {
         return None;
     }
-    let risk = view.disturbance.risk(worker, &need.step.image);
+    let risk = view.interference.risk(worker, &need.step.image);
     let is_allowed = match need.risk {
         RiskLimit::Known => !risk.is_unseen && risk.is_low(),
         RiskLimit::Explore => {
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -18,7 +18,7 @@
 use crate::workflow::advice_cache::AdviceCache;
 use crate::workflow::advice_cache::AdviceQuery;
 use crate::workflow::changed_jobs::ChangedJobs;
-use crate::workflow::disturbance::DisturbanceModel;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner_batch::PlanBatch;
 use crate::workflow::planner_gathering::GatheringState;
@@ -46,7 +46,7 @@
     pub(crate) board: WorkerBoard,
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
-    pub(crate) disturbance: DisturbanceModel,
+    pub(crate) interference: PairInterferenceModel,
     pub(crate) advice: AdviceCache,
     pub(crate) questions: Vec<AdviceQuery>,
     pub(crate) dirty: ChangedJobs,
@@ -79,7 +79,7 @@
             board: WorkerBoard::default(),
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
-            disturbance: DisturbanceModel::default(),
+            interference: PairInterferenceModel::default(),
             advice: AdviceCache::default(),
             questions: Vec::new(),
             dirty: ChangedJobs::default(),
@@ -302,8 +302,8 @@
             target_ms: step.target_ms,
             fills: step.fills,
             room: step.counted_room(),
-            effects: if step.fills { self.disturbance.effects(&step.image) } else { Vec::new() },
-            idle_tail_ms: self.disturbance.idle_tail_of(&step.image).round() as u32,
+            effects: if step.fills { self.interference.effects(&step.image) } else { Vec::new() },
+            idle_tail_ms: self.interference.idle_tail_of_image(&step.image).round() as u32,
         })
     }
 
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -252,7 +252,7 @@
             return;
         }
         entry.end = Some(end);
-        self.disturbance.forget_job(job);
+        self.interference.forget_job(job);
         self.task_suspicion.forget_job(job);
         self.decisions.push(PlanDecision::JobEnded {
             job: job.to_string(),
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -4,8 +4,8 @@
 use std::collections::HashSet;
 
 use crate::ids::QueueName;
-use crate::workflow::disturbance::DisturbanceModel;
 use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::planner::Planner;
 use crate::workflow::urgency::JobUrgency;
 
@@ -112,7 +112,7 @@
     /// assert!(planner.learned().pairs.is_empty());
     /// ```
     pub fn learned(&self) -> LearnedEffects {
-        self.disturbance.learned()
+        self.interference.learned()
     }
 
     /// Takes over what a predecessor has learned of images.
@@ -124,7 +124,7 @@
     /// planner.adopt_learned(Default::default());
     /// ```
     pub fn adopt_learned(&mut self, learned: LearnedEffects) {
-        self.disturbance = DisturbanceModel::from_learned(learned, self.now);
+        self.interference = PairInterferenceModel::from_learned(learned, self.now);
     }
 
     /// What was learned of images that disturb each other, for the log.
@@ -136,6 +136,6 @@
     /// assert_eq!(planner.learned_pairs(), "");
     /// ```
     pub fn learned_pairs(&self) -> String {
-        self.disturbance.summary()
+        self.interference.summary()
     }
 }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -189,7 +189,7 @@
         };
         let resync = std::mem::take(&mut worker.resync);
         let absent = compare_runs(worker, present, look.orders_seen, resync, self.now);
-        self.disturbance.learn(worker, self.now);
+        self.interference.learn(worker, self.now);
         let works = worker.assigned.iter().filter(|(_, run)| !run.long_running);
         let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
         let works: Vec<(TaskName, RunWork)> = works.collect();
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -329,7 +329,7 @@
         PlacementView {
             board: &self.board,
             suspicion: &self.suspicion,
-            disturbance: &self.disturbance,
+            interference: &self.interference,
             advice: &self.advice,
             emptied: self.gathering.emptied(),
             now: self.now,
--- a/src/workflow/run_pace.rs
+++ b/src/workflow/run_pace.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::workflow::disturbance::MEASURED_SPAN;
+use crate::workflow::pair_interference::MEASURED_SPAN;
 
 /// Part of a possible rise that is taken at once; the rest follows when tails have shown the first part.
 const RISE_SHARE: f64 = 0.7;
