--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -40,7 +40,7 @@
 use crate::process::planning::shared::PlannerShared;
 use crate::process::planning::table_feed::TableFeed;
 use crate::workflow::grant::predecessors_expired;
-use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
 /// Time between two looks at what is due by the clock.
@@ -67,7 +67,7 @@
     pub(super) write: Option<WriteTask>,
     pub(super) pulse_due: Instant,
     pub(super) learned_due: Instant,
-    pub(super) learned: LearnedEffects,
+    pub(super) learned: LearnedInterference,
     pub(super) load_log_due: Instant,
     /// Before this the planner does not look for places again.
     plan_after: Instant,
@@ -92,7 +92,7 @@
             write: None,
             pulse_due: clock::now(),
             learned_due: clock::now() + LEARNED_PERIOD,
-            learned: LearnedEffects::default(),
+            learned: LearnedInterference::default(),
             load_log_due: clock::now(),
             plan_after: clock::now(),
             has_news: false,
--- a/src/workflow/learned_effects.rs
+++ b/src/workflow/learned_interference.rs
@@ -11,7 +11,7 @@
 
 /// What was learned of a pair of images.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PairEffect {
+pub struct PairInterference {
     /// The image that serves.
     pub serving: ImageName,
     /// The image that fills.
@@ -24,7 +24,7 @@
 
 /// The least tail latency that was seen of an image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeastTail {
+pub struct MinTailLatency {
     /// The image.
     pub image: ImageName,
     /// Its least tail latency in milliseconds.
@@ -33,11 +33,11 @@
 
 /// What outlives a change of the planner. What a single run does is not part of it: that changes within seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LearnedEffects {
+pub struct LearnedInterference {
     /// Pairs of images.
-    pub pairs: Vec<PairEffect>,
+    pub pairs: Vec<PairInterference>,
     /// Images that serve.
-    pub least_tails: Vec<LeastTail>,
+    pub least_tails: Vec<MinTailLatency>,
 }
 
 impl PairInterferenceModel {
@@ -47,8 +47,8 @@
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.learned().pairs.is_empty());
     /// ```
-    pub fn learned(&self) -> LearnedEffects {
-        let pairs = self.each_pair().map(|(serving, filling, pair)| PairEffect {
+    pub fn learned(&self) -> LearnedInterference {
+        let pairs = self.each_pair().map(|(serving, filling, pair)| PairInterference {
             serving: serving.clone(),
             filling: filling.clone(),
             added_load: pair.value,
@@ -57,8 +57,8 @@
         let tails = self
             .least_tails
             .iter()
-            .map(|(image, tail_ms)| LeastTail { image: image.clone(), tail_ms: *tail_ms });
-        LearnedEffects { pairs: pairs.collect(), least_tails: tails.collect() }
+            .map(|(image, tail_ms)| MinTailLatency { image: image.clone(), tail_ms: *tail_ms });
+        LearnedInterference { pairs: pairs.collect(), least_tails: tails.collect() }
     }
 
     /// A model that begins with what a predecessor has learned.
@@ -67,12 +67,12 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
-    /// use greengagearch::workflow::learned_effects::LearnedEffects;
+    /// use greengagearch::workflow::learned_interference::LearnedInterference;
     ///
-    /// let model = PairInterferenceModel::from_learned(LearnedEffects::default(), Instant::now());
+    /// let model = PairInterferenceModel::from_learned(LearnedInterference::default(), Instant::now());
     /// assert_eq!(model.summary(), "");
     /// ```
-    pub fn from_learned(learned: LearnedEffects, now: Instant) -> PairInterferenceModel {
+    pub fn from_learned(learned: LearnedInterference, now: Instant) -> PairInterferenceModel {
         let tails = learned.least_tails.into_iter().map(|tail| (tail.image, tail.tail_ms));
         let mut model = PairInterferenceModel::default();
         for pair in learned.pairs {
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -8,7 +8,7 @@
 pub mod grant;
 pub mod job_forecast;
 pub mod job_outlook;
-pub mod learned_effects;
+pub mod learned_interference;
 pub mod over_target;
 pub mod pacing;
 pub mod pair_interference;
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 
 use crate::ids::QueueName;
-use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::planner::Planner;
 use crate::workflow::urgency::JobUrgency;
@@ -111,7 +111,7 @@
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// assert!(planner.learned().pairs.is_empty());
     /// ```
-    pub fn learned(&self) -> LearnedEffects {
+    pub fn learned(&self) -> LearnedInterference {
         self.interference.learned()
     }
 
@@ -123,7 +123,7 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// planner.adopt_learned(Default::default());
     /// ```
-    pub fn adopt_learned(&mut self, learned: LearnedEffects) {
+    pub fn adopt_learned(&mut self, learned: LearnedInterference) {
         self.interference = PairInterferenceModel::from_learned(learned, self.now);
     }
 
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -14,7 +14,7 @@
 use crate::processes::ProductProcess;
 use crate::processes::SettingsFolder;
 use crate::proxy::FaultProxy;
-use crate::runner::PairEffect;
+use crate::runner::PairInterference;
 use crate::runner::RunJournal;
 use crate::runner::Runner;
 use crate::runner::RunnerBehaviour;
@@ -212,7 +212,7 @@
     pub fn set_effects(&self, slowdowns: &[TrueSlowdowns]) {
         for (number, (runner, worker)) in self.runners.iter().zip(&self.workers).enumerate() {
             let slowdowns = slowdowns[self.plan.service_at(number)].clone();
-            runner.set_effect(PairEffect { worker: worker.clone(), slowdowns });
+            runner.set_effect(PairInterference { worker: worker.clone(), slowdowns });
         }
     }
 
--- a/standins/src/laboratory/serving_load.rs
+++ b/standins/src/laboratory/serving_load.rs
@@ -31,7 +31,7 @@
 
 /// What one pair of images does to each other.
 #[derive(Clone, Copy, Debug)]
-struct PairEffect {
+struct PairInterference {
     added: f64,
     phase: f64,
 }
@@ -39,7 +39,7 @@
 /// The true effects of all pairs of images, which decisions can only learn.
 #[derive(Clone, Debug)]
 pub struct PairEffects {
-    pairs: Vec<PairEffect>,
+    pairs: Vec<PairInterference>,
 }
 
 impl PairEffects {
@@ -55,7 +55,7 @@
     /// ```
     pub fn draw(rng: &mut StdRng) -> PairEffects {
         let added = LogNormal::new(MEDIAN_ADDED.ln(), ADDED_SPREAD).ok();
-        let pairs = (0..SERVING_IMAGES * FILLING_IMAGES).map(|_| PairEffect {
+        let pairs = (0..SERVING_IMAGES * FILLING_IMAGES).map(|_| PairInterference {
             added: added.map_or(MEDIAN_ADDED, |added| added.sample(rng)).min(MOST_ADDED),
             phase: rng.random(),
         });
--- a/standins/src/runner.rs
+++ b/standins/src/runner.rs
@@ -50,14 +50,14 @@
 
 /// How tasks on the same worker slow a runner down: each kind by its true slowdown.
 #[derive(Clone)]
-pub struct PairEffect {
+pub struct PairInterference {
     /// The worker beside the runner.
     pub worker: Worker,
     /// True slowdown by one task of each kind.
     pub slowdowns: Arc<Mutex<BTreeMap<String, f64>>>,
 }
 
-impl PairEffect {
+impl PairInterference {
     /// By how much a request takes longer right now.
     fn factor(&self) -> f64 {
         let slowdowns = self.slowdowns.lock().unwrap_or_else(PoisonError::into_inner);
@@ -121,7 +121,7 @@
     most_in_flight: Arc<AtomicU64>,
     begun: Arc<AtomicU64>,
     announces: Arc<AtomicBool>,
-    effect: Arc<Mutex<Option<PairEffect>>>,
+    effect: Arc<Mutex<Option<PairInterference>>>,
 }
 
 impl Runner {
@@ -199,7 +199,7 @@
     }
 
     /// Lets the tasks on a worker slow this runner down from now on.
-    pub fn set_effect(&self, effect: PairEffect) {
+    pub fn set_effect(&self, effect: PairInterference) {
         *self.effect.lock().unwrap_or_else(PoisonError::into_inner) = Some(effect);
     }
 
--- a/tests/colocation.rs
+++ b/tests/colocation.rs
@@ -22,7 +22,7 @@
 use env::until_job_ended;
 use greengagearch_standins::caller::Caller;
 use greengagearch_standins::processes::ProductProcess;
-use greengagearch_standins::runner::PairEffect;
+use greengagearch_standins::runner::PairInterference;
 use greengagearch_standins::runner::RunnerBehaviour;
 use tokio::task::JoinHandle;
 
@@ -69,7 +69,7 @@
     for host in &hosts {
         let runner = env.spawn_runner(host, Duration::from_millis(20)).await;
         let worker = host.worker.clone();
-        runner.set_effect(PairEffect { worker, slowdowns: slowdowns.clone() });
+        runner.set_effect(PairInterference { worker, slowdowns: slowdowns.clone() });
     }
     env.until_serving(&entry).await;
     let stop = Arc::new(AtomicBool::new(false));
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -2,9 +2,9 @@
 
 mod planning;
 
-use greengagearch::workflow::learned_effects::LearnedEffects;
-use greengagearch::workflow::learned_effects::LeastTail;
-use greengagearch::workflow::learned_effects::PairEffect;
+use greengagearch::workflow::learned_interference::LearnedInterference;
+use greengagearch::workflow::learned_interference::MinTailLatency;
+use greengagearch::workflow::learned_interference::PairInterference;
 use greengagearch::workflow::spec::StepSpec;
 
 use crate::planning::PlannedFleet;
@@ -14,14 +14,14 @@
 const TARGET_MS: u64 = 50;
 const IDLE_TAIL_MS: f64 = 10.0;
 
-fn pair(serving: &str, filling: &str, added_load: f64) -> PairEffect {
+fn pair(serving: &str, filling: &str, added_load: f64) -> PairInterference {
     let (serving, filling) = (serving.to_string(), filling.to_string());
-    PairEffect { serving, filling, added_load, variance: 0.000_1 }
+    PairInterference { serving, filling, added_load, variance: 0.000_1 }
 }
 
-fn learned(pairs: Vec<PairEffect>) -> LearnedEffects {
-    let tail = |image: &str| LeastTail { image: image.to_string(), tail_ms: IDLE_TAIL_MS };
-    LearnedEffects { pairs, least_tails: ["s", "other"].map(tail).to_vec() }
+fn learned(pairs: Vec<PairInterference>) -> LearnedInterference {
+    let tail = |image: &str| MinTailLatency { image: image.to_string(), tail_ms: IDLE_TAIL_MS };
+    LearnedInterference { pairs, least_tails: ["s", "other"].map(tail).to_vec() }
 }
 
 fn serving(image: &str) -> StepSpec {
