--- a/src/process/node/watcher.rs
+++ b/src/process/node/watcher.rs
@@ -131,7 +131,7 @@
         if state.on_lists(number, lists, now) {
             shared.news.notify_one();
         }
-        (steps, state.pace.take_long_over())
+        (steps, state.pace.take_sustained_violations())
     };
     for (over, fills_percent) in long_over {
         log_event(
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -13,11 +13,11 @@
 
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
-use crate::workflow::over_target::LongOver;
-use crate::workflow::over_target::OverTarget;
 use crate::workflow::pair_interference::FIRST_ADDED;
 use crate::workflow::pair_interference::FIRST_IDLE_SHARE;
 use crate::workflow::run_pace::RunPace;
+use crate::workflow::target_violations::SustainedViolation;
+use crate::workflow::target_violations::TargetViolations;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
@@ -53,7 +53,7 @@
     inherited: BTreeSet<RunKey>,
     /// Whether the runs of the next look are such ones.
     inherits_next: bool,
-    over: OverTarget,
+    violations: TargetViolations,
 }
 
 /// Tasks of one job that serve on this worker, whose load swings alike, or one that counts by itself.
@@ -72,7 +72,7 @@
     /// ```
     /// use greengagearch::workflow::pacing::PaceControl;
     ///
-    /// assert!(PaceControl::inheriting().take_long_over().is_empty());
+    /// assert!(PaceControl::inheriting().take_sustained_violations().is_empty());
     /// ```
     pub fn inheriting() -> PaceControl {
         PaceControl { inherits_next: true, ..PaceControl::default() }
@@ -96,13 +96,13 @@
         now: Instant,
     ) -> Vec<PaceStep> {
         self.follow(running, traits, now);
-        self.over.follow(running, traits, now);
+        self.violations.record(running, traits, now);
         let is_still = |pace: &RunPace| pace.mean(now) < STILL_PACE;
-        if !self.over.is_empty() && self.paces.values().all(is_still) {
-            self.over.clear_fills(now);
+        if !self.violations.is_empty() && self.paces.values().all(is_still) {
+            self.violations.exonerate_best_effort(now);
         }
         let mut groups = serving_groups(running, traits);
-        groups.extend(self.harmed_tasks(running, traits, now));
+        groups.extend(self.victim_groups(running, traits, now));
         let pressure = groups.iter().map(|group| group.pressure).fold(0.0, f64::max);
         let allowed = self.allowed(&groups, traits, now);
         self.steps(&allowed, pressure, now)
@@ -111,12 +111,16 @@
     /// Tasks that have newly been over their targets for long, and the highest pace of the fills beside them in percent.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::pacing::PaceControl::default().take_long_over().is_empty());
+    /// assert!(greengagearch::workflow::pacing::PaceControl::default().take_sustained_violations().is_empty());
     /// ```
-    pub fn take_long_over(&mut self) -> Vec<(LongOver, u32)> {
+    pub fn take_sustained_violations(&mut self) -> Vec<(SustainedViolation, u32)> {
         let highest = self.paces.values().map(RunPace::ordered).fold(0.0, f64::max);
         let percent = (highest * 100.0).round() as u32;
-        self.over.take_news().into_iter().map(|over| (over, percent)).collect()
+        self.violations
+            .take_new_violations()
+            .into_iter()
+            .map(|violation| (violation, percent))
+            .collect()
     }
 
     /// The pace that was ordered for a run last, in percent.
@@ -246,27 +250,32 @@
     }
 
     /// Tasks that count by themselves, since they have been over their targets for long.
-    fn harmed_tasks(
+    fn victim_groups(
         &self,
         running: &[PresentRun],
         known: &HashMap<TaskName, TaskTraits>,
         now: Instant,
     ) -> Vec<ServingGroup> {
-        let mut harmed = Vec::new();
-        if self.over.is_empty() {
-            return harmed;
+        let mut victims = Vec::new();
+        if self.violations.is_empty() {
+            return victims;
         }
         for run in running.iter().filter(|run| run.usage > 0) {
             let Some(traits) = known.get(&run.task).filter(|traits| traits.target_ms > 0) else {
                 continue;
             };
             let group = group_of(run.usage as f64, traits);
-            let is_by_fills = || group.room + self.measured_load(&group.image, known, now) > 0.0;
-            if self.over.is_harmed(&(run.task.clone(), run.run), is_by_fills, now) {
-                harmed.push(group);
+            let is_caused_by_best_effort =
+                || group.room + self.measured_load(&group.image, known, now) > 0.0;
+            if self.violations.is_interference_victim(
+                &(run.task.clone(), run.run),
+                is_caused_by_best_effort,
+                now,
+            ) {
+                victims.push(group);
             }
         }
-        harmed
+        victims
     }
 
     /// The load that fills have added to tasks of an image over the measured span.
