--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -29,7 +29,7 @@
 use crate::process::node::runner_lease::RunnerLease;
 use crate::process::node::runner_lives::RunnerLives;
 use crate::process::node::unsettled_starts::UnsettledStarts;
-use crate::workflow::pacing::PaceControl;
+use crate::workflow::pacing::PaceController;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
@@ -71,7 +71,7 @@
     /// What is known of tasks.
     pub traits: HashMap<TaskName, TaskTraits>,
     /// Decides how fast tasks may work.
-    pub pace: PaceControl,
+    pub pace: PaceController,
 }
 
 impl NodeState {
@@ -104,7 +104,7 @@
             begun: BegunRuns::default(),
             unsettled: UnsettledStarts::default(),
             traits: HashMap::new(),
-            pace: PaceControl::default(),
+            pace: PaceController::default(),
         }
     }
 
@@ -223,7 +223,7 @@
         self.fresh_look = None;
         self.present.clear();
         self.reported_ends = 0;
-        self.pace = PaceControl::default();
+        self.pace = PaceController::default();
         self.has_news = true;
     }
 
@@ -306,8 +306,8 @@
         let mut present = lists.running;
         for run in &mut present {
             let key = (run.task.clone(), run.run);
-            run.pace_percent = self.pace.ordered(&key);
-            run.measured_percent = self.pace.measured(&key, now);
+            run.pace_percent = self.pace.ordered_percent(&key);
+            run.measured_percent = self.pace.mean_percent(&key, now);
         }
         self.show(number, present, lists.ended);
         self.has_news
--- a/src/process/node/watcher.rs
+++ b/src/process/node/watcher.rs
@@ -12,8 +12,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::node::shared::NodeShared;
-use crate::workflow::pacing::PaceControl;
-use crate::workflow::pacing::PaceStep;
+use crate::workflow::pacing::PaceChange;
+use crate::workflow::pacing::PaceController;
 
 /// Longest wait of a look for an end: as often tails are measured and leases extended.
 const LOOK_WAIT: Duration = Duration::from_millis(250);
@@ -23,7 +23,7 @@
 /// Starts looking.
 pub fn spawn_watcher(shared: Arc<NodeShared>) {
     // An agent before may have paced what runs.
-    shared.state().pace = PaceControl::inheriting();
+    shared.state().pace = PaceController::inheriting();
     tokio::spawn(async move {
         let mut has_failed = false;
         loop {
@@ -126,7 +126,7 @@
         let now = clock::now();
         let steps = {
             let state = &mut *state;
-            state.pace.look(&lists.running, &state.traits, now)
+            state.pace.update(&lists.running, &state.traits, now)
         };
         if state.on_lists(number, lists, now) {
             shared.news.notify_one();
@@ -156,17 +156,17 @@
     Ok(())
 }
 
-async fn pace(shared: &NodeShared, target: &RunnerTarget, step: PaceStep) {
+async fn pace(shared: &NodeShared, target: &RunnerTarget, step: PaceChange) {
     let (task, run) = &step.key;
     let slot = shared.order_slots.acquire().await;
     let result = shared.control.pace(target, task, *run, step.percent).await;
     drop(slot);
     match &result {
-        Ok(()) => shared.state().pace.on_done(&step),
+        Ok(()) => shared.state().pace.on_applied(&step),
         Err(RunnerError::NoAnswer { .. }) => {
             shared.state().pace.on_unanswered(&step.key, clock::now());
         }
-        Err(_) => shared.state().pace.on_failed(&step.key),
+        Err(_) => shared.state().pace.on_rejected(&step.key),
     }
     let outcome = result.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
     log_event(
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -25,15 +25,15 @@
 /// the measured span, and two standard deviations of a measured tail.
 const LOAD_MARGIN: f64 = 0.04;
 /// Time between two rises: runners measure tails anew that often, and a pace needs some time to have its effect.
-const RISE_PAUSE: Duration = Duration::from_millis(620);
+const MIN_RAISE_INTERVAL: Duration = Duration::from_millis(620);
 /// Least load that a fill at full pace is taken to add.
-const LEAST_ADDED: f64 = 0.02;
+const MIN_ADDED_LOAD: f64 = 0.02;
 /// Mean pace below which a fill stands still.
-const STILL_PACE: f64 = 0.02;
+const PAUSED_PACE: f64 = 0.02;
 
 /// A run that should work at another speed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PaceStep {
+pub struct PaceChange {
     /// The run.
     pub key: RunKey,
     /// Share of its full speed, in percent.
@@ -44,15 +44,15 @@
 
 /// The pace of the fills on one worker.
 #[derive(Clone, Debug, Default)]
-pub struct PaceControl {
+pub struct PaceController {
     /// When fills were last allowed to work faster.
-    rose: Option<Instant>,
+    last_raised: Option<Instant>,
     /// In their order, so that the same looks give the same paces to the last bit.
     paces: BTreeMap<RunKey, RunPace>,
     /// Runs that another agent may have paced before.
     inherited: BTreeSet<RunKey>,
     /// Whether the runs of the next look are such ones.
-    inherits_next: bool,
+    inherits_next_update: bool,
     violations: TargetViolations,
 }
 
@@ -61,21 +61,21 @@
     /// What they run.
     image: String,
     /// The load that is aimed at less the load that was measured.
-    room: f64,
+    headroom: f64,
     /// The tail as a share of its target.
     pressure: f64,
 }
 
-impl PaceControl {
+impl PaceController {
     /// Control of a worker that another agent may have paced: what the first look shows is ordered anew.
     ///
     /// ```
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// assert!(PaceControl::inheriting().take_sustained_violations().is_empty());
+    /// assert!(PaceController::inheriting().take_sustained_violations().is_empty());
     /// ```
-    pub fn inheriting() -> PaceControl {
-        PaceControl { inherits_next: true, ..PaceControl::default() }
+    pub fn inheriting() -> PaceController {
+        PaceController { inherits_next_update: true, ..PaceController::default() }
     }
 
     /// Takes in what runs on the worker and gives the changes of pace.
@@ -84,34 +84,34 @@
     /// use std::collections::HashMap;
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// let steps = PaceControl::default().look(&[], &HashMap::new(), Instant::now());
-    /// assert!(steps.is_empty());
+    /// let changes = PaceController::default().update(&[], &HashMap::new(), Instant::now());
+    /// assert!(changes.is_empty());
     /// ```
-    pub fn look(
+    pub fn update(
         &mut self,
         running: &[PresentRun],
         traits: &HashMap<TaskName, TaskTraits>,
         now: Instant,
-    ) -> Vec<PaceStep> {
-        self.follow(running, traits, now);
+    ) -> Vec<PaceChange> {
+        self.track_runs(running, traits, now);
         self.violations.record(running, traits, now);
-        let is_still = |pace: &RunPace| pace.mean(now) < STILL_PACE;
-        if !self.violations.is_empty() && self.paces.values().all(is_still) {
+        let is_paused = |pace: &RunPace| pace.mean(now) < PAUSED_PACE;
+        if !self.violations.is_empty() && self.paces.values().all(is_paused) {
             self.violations.exonerate_best_effort(now);
         }
         let mut groups = serving_groups(running, traits);
         groups.extend(self.victim_groups(running, traits, now));
         let pressure = groups.iter().map(|group| group.pressure).fold(0.0, f64::max);
-        let allowed = self.allowed(&groups, traits, now);
-        self.steps(&allowed, pressure, now)
+        let allowed = self.max_paces(&groups, traits, now);
+        self.pace_changes(&allowed, pressure, now)
     }
 
     /// Tasks that have newly been over their targets for long, and the highest pace of the fills beside them in percent.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::pacing::PaceControl::default().take_sustained_violations().is_empty());
+    /// assert!(greengagearch::workflow::pacing::PaceController::default().take_sustained_violations().is_empty());
     /// ```
     pub fn take_sustained_violations(&mut self) -> Vec<(SustainedViolation, u32)> {
         let highest = self.paces.values().map(RunPace::ordered).fold(0.0, f64::max);
@@ -126,11 +126,11 @@
     /// The pace that was ordered for a run last, in percent.
     ///
     /// ```
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// assert_eq!(PaceControl::default().ordered(&("a.0.0.0".parse().unwrap(), 1)), 100);
+    /// assert_eq!(PaceController::default().ordered_percent(&("a.0.0.0".parse().unwrap(), 1)), 100);
     /// ```
-    pub fn ordered(&self, key: &RunKey) -> u32 {
+    pub fn ordered_percent(&self, key: &RunKey) -> u32 {
         let pace = self.paces.get(key).map_or(1.0, RunPace::ordered);
         (pace * 100.0).round() as u32
     }
@@ -140,12 +140,12 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert_eq!(PaceControl::default().measured(&key, Instant::now()), 0);
+    /// assert_eq!(PaceController::default().mean_percent(&key, Instant::now()), 0);
     /// ```
-    pub fn measured(&self, key: &RunKey, now: Instant) -> u32 {
+    pub fn mean_percent(&self, key: &RunKey, now: Instant) -> u32 {
         let mean = self.paces.get(key).map_or(0.0, |pace| pace.mean(now));
         (mean * 100.0).round() as u32
     }
@@ -154,27 +154,27 @@
     /// next look orders the newest again.
     ///
     /// ```
-    /// use greengagearch::workflow::pacing::PaceControl;
-    /// use greengagearch::workflow::pacing::PaceStep;
+    /// use greengagearch::workflow::pacing::PaceController;
+    /// use greengagearch::workflow::pacing::PaceChange;
     ///
-    /// let step = PaceStep { key: ("a.0.0.0".parse().unwrap(), 1), percent: 50, pressure: 1.0 };
-    /// PaceControl::default().on_done(&step);
+    /// let change = PaceChange { key: ("a.0.0.0".parse().unwrap(), 1), percent: 50, pressure: 1.0 };
+    /// PaceController::default().on_applied(&change);
     /// ```
-    pub fn on_done(&mut self, step: &PaceStep) {
-        let is_newest = self.ordered(&step.key) == step.percent;
+    pub fn on_applied(&mut self, change: &PaceChange) {
+        let is_newest = self.ordered_percent(&change.key) == change.percent;
         if !is_newest {
-            self.on_failed(&step.key);
+            self.on_rejected(&change.key);
         }
     }
 
     /// Takes note that an ordered pace was refused; the next look orders it again.
     ///
     /// ```
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// PaceControl::default().on_failed(&("a.0.0.0".parse().unwrap(), 1));
+    /// PaceController::default().on_rejected(&("a.0.0.0".parse().unwrap(), 1));
     /// ```
-    pub fn on_failed(&mut self, key: &RunKey) {
+    pub fn on_rejected(&mut self, key: &RunKey) {
         if let Some(pace) = self.paces.get_mut(key) {
             pace.doubt();
         }
@@ -185,9 +185,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::pacing::PaceControl;
+    /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// PaceControl::default().on_unanswered(&("a.0.0.0".parse().unwrap(), 1), Instant::now());
+    /// PaceController::default().on_unanswered(&("a.0.0.0".parse().unwrap(), 1), Instant::now());
     /// ```
     pub fn on_unanswered(&mut self, key: &RunKey, now: Instant) {
         if let Some(pace) = self.paces.get_mut(key) {
@@ -196,37 +196,39 @@
     }
 
     /// The changes that lead to the allowed paces.
-    fn steps(
+    fn pace_changes(
         &mut self,
         allowed: &BTreeMap<RunKey, f64>,
         pressure: f64,
         now: Instant,
-    ) -> Vec<PaceStep> {
-        let may_rise = self.rose.is_none_or(|at| now.saturating_duration_since(at) >= RISE_PAUSE);
-        let mut steps = Vec::new();
+    ) -> Vec<PaceChange> {
+        let may_raise = self
+            .last_raised
+            .is_none_or(|at| now.saturating_duration_since(at) >= MIN_RAISE_INTERVAL);
+        let mut changes = Vec::new();
         for (key, pace) in &mut self.paces {
             let allowed = allowed.get(key).copied().unwrap_or(1.0);
-            let Some(wanted) = pace.next(allowed, may_rise, now) else {
+            let Some(wanted) = pace.next(allowed, may_raise, now) else {
                 continue;
             };
             if wanted > pace.ordered() {
-                self.rose = Some(now);
+                self.last_raised = Some(now);
             }
             pace.order(wanted, now);
             let percent = (wanted * 100.0).round() as u32;
-            steps.push(PaceStep { key: key.clone(), percent, pressure });
+            changes.push(PaceChange { key: key.clone(), percent, pressure });
         }
-        steps
+        changes
     }
 
     /// Keeps the paces of the fills that run, and starts those of new ones at full speed.
-    fn follow(
+    fn track_runs(
         &mut self,
         running: &[PresentRun],
         traits: &HashMap<TaskName, TaskTraits>,
         now: Instant,
     ) {
-        self.inherit(running);
+        self.record_inherited(running);
         let fills = running.iter().filter(|run| traits.get(&run.task).is_some_and(|t| t.fills));
         let mut paces = BTreeMap::new();
         for run in fills {
@@ -243,8 +245,8 @@
     }
 
     /// Remembers what the first look shows: which runs are fills is known only when the planner has described them.
-    fn inherit(&mut self, running: &[PresentRun]) {
-        if std::mem::take(&mut self.inherits_next) {
+    fn record_inherited(&mut self, running: &[PresentRun]) {
+        if std::mem::take(&mut self.inherits_next_update) {
             self.inherited = running.iter().map(|run| (run.task.clone(), run.run)).collect();
         }
     }
@@ -264,9 +266,9 @@
             let Some(traits) = known.get(&run.task).filter(|traits| traits.target_ms > 0) else {
                 continue;
             };
-            let group = group_of(run.usage as f64, traits);
+            let group = serving_group(run.usage as f64, traits);
             let is_caused_by_best_effort =
-                || group.room + self.measured_load(&group.image, known, now) > 0.0;
+                || group.headroom + self.mean_added_load(&group.image, known, now) > 0.0;
             if self.violations.is_interference_victim(
                 &(run.task.clone(), run.run),
                 is_caused_by_best_effort,
@@ -279,7 +281,7 @@
     }
 
     /// The load that fills have added to tasks of an image over the measured span.
-    fn measured_load(
+    fn mean_added_load(
         &self,
         image: &str,
         traits: &HashMap<TaskName, TaskTraits>,
@@ -290,7 +292,7 @@
     }
 
     /// The highest paces at which no group is expected above its aim.
-    fn allowed(
+    fn max_paces(
         &self,
         groups: &[ServingGroup],
         traits: &HashMap<TaskName, TaskTraits>,
@@ -300,7 +302,7 @@
             self.paces.keys().map(|key| (key.clone(), 1.0)).collect();
         for group in groups {
             let added = |key: &RunKey| added_load(key, &group.image, traits);
-            let budget = group.room + self.measured_load(&group.image, traits, now);
+            let budget = group.headroom + self.mean_added_load(&group.image, traits, now);
             let mut excess: f64 =
                 allowed.iter().map(|(key, pace)| added(key) * pace).sum::<f64>() - budget;
             let mut heaviest: Vec<(f64, RunKey)> =
@@ -337,7 +339,7 @@
     let group = |mut tails: Vec<(f64, &TaskTraits)>| {
         tails.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (tail, traits) = tails[(tails.len() - 1) / 2];
-        group_of(tail, traits)
+        serving_group(tail, traits)
     };
     tails.into_values().map(group).collect()
 }
@@ -345,17 +347,17 @@
 /// What a fill at full pace adds to the load of tasks of an image, as far as that is known.
 fn added_load(key: &RunKey, image: &str, traits: &HashMap<TaskName, TaskTraits>) -> f64 {
     let known = traits.get(&key.0).and_then(|traits| traits.added(image));
-    known.unwrap_or(FIRST_ADDED).max(LEAST_ADDED)
+    known.unwrap_or(FIRST_ADDED).max(MIN_ADDED_LOAD)
 }
 
 /// What a tail of a task that serves leaves to fills.
-fn group_of(tail: f64, traits: &TaskTraits) -> ServingGroup {
+fn serving_group(tail: f64, traits: &TaskTraits) -> ServingGroup {
     let target = traits.target_ms as f64;
     let idle = match traits.idle_tail_ms {
         0 => target * FIRST_IDLE_SHARE,
         known => f64::from(known),
     };
     // load = 1 − idle / tail, so that the difference of two loads needs no load at all.
-    let room = idle / tail - idle / target - LOAD_MARGIN;
-    ServingGroup { image: traits.image.clone(), room, pressure: tail / target }
+    let headroom = idle / tail - idle / target - LOAD_MARGIN;
+    ServingGroup { image: traits.image.clone(), headroom, pressure: tail / target }
 }
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -13,7 +13,7 @@
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
-use greengagearch::workflow::pacing::PaceControl;
+use greengagearch::workflow::pacing::PaceController;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
@@ -96,7 +96,7 @@
     name: String,
     room: ResourceVector,
     runs: BTreeMap<RunKey, WorkerRun>,
-    control: PaceControl,
+    control: PaceController,
     traits: HashMap<TaskName, TaskTraits>,
     ended: Vec<EndedRun>,
     ends: u64,
@@ -121,7 +121,7 @@
             name: name.to_string(),
             room,
             runs: BTreeMap::new(),
-            control: PaceControl::default(),
+            control: PaceController::default(),
             traits: HashMap::new(),
             ended: Vec::new(),
             ends: 0,
@@ -252,15 +252,15 @@
         self.traits.retain(|task, _| self.runs.keys().any(|key| key.0 == *task));
         let mut present: Vec<PresentRun> =
             self.runs.iter().map(|(key, run)| seen(key, run, rng)).collect();
-        for step in self.control.look(&present, &self.traits, at) {
+        for step in self.control.update(&present, &self.traits, at) {
             if let Some(run) = self.runs.get_mut(&step.key) {
                 run.ordered.push_back((now + PACE_LAG, f64::from(step.percent) / 100.0));
             }
         }
         for run in &mut present {
             let key = (run.task.clone(), run.run);
-            run.pace_percent = self.control.ordered(&key);
-            run.measured_percent = self.control.measured(&key, at);
+            run.pace_percent = self.control.ordered_percent(&key);
+            run.measured_percent = self.control.mean_percent(&key, at);
         }
         let status = RunnerStatus {
             instance: self.name.clone(),
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -172,7 +172,7 @@
 
 /// The pace that the agent believes in.
 fn believed(shared: &NodeShared) -> u32 {
-    shared.state().pace.ordered(&("f.0.0.0".parse().unwrap(), 1))
+    shared.state().pace.ordered_percent(&("f.0.0.0".parse().unwrap(), 1))
 }
 
 /// Waits until the fill is at work at a pace in which the agent believes as well.
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -7,8 +7,8 @@
 use greengagearch::connection::node_protocol::ImageEffect;
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::TaskTraits;
-use greengagearch::workflow::pacing::PaceControl;
-use greengagearch::workflow::pacing::PaceStep;
+use greengagearch::workflow::pacing::PaceChange;
+use greengagearch::workflow::pacing::PaceController;
 use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 
@@ -22,7 +22,7 @@
 struct PlayedWorker {
     started: Instant,
     now: Instant,
-    control: PaceControl,
+    control: PaceController,
     traits: HashMap<TaskName, TaskTraits>,
     fills: Vec<(TaskName, f64)>,
     paces: HashMap<TaskName, f64>,
@@ -37,7 +37,7 @@
         let mut worker = PlayedWorker {
             started,
             now: started,
-            control: PaceControl::default(),
+            control: PaceController::default(),
             traits: HashMap::new(),
             fills: Vec::new(),
             paces: HashMap::new(),
@@ -62,13 +62,13 @@
     }
 
     /// Two looks make up the span over which tails are measured.
-    fn look(&mut self, base: f64) -> Vec<PaceStep> {
+    fn look(&mut self, base: f64) -> Vec<PaceChange> {
         let load = self.load(base);
         let before = self.load_before.replace(load).unwrap_or(load);
         let mut running = vec![run("s.0.0.0", tail_ms((load + before) / 2.0) as u64)];
         running.extend(self.fills.iter().map(|(task, _)| run(&task.to_string(), 1_000)));
         self.now += LOOK;
-        let steps = self.control.look(&running, &self.traits, self.now);
+        let steps = self.control.update(&running, &self.traits, self.now);
         for step in steps.iter().filter(|_| self.is_paced) {
             self.paces.insert(step.key.0.clone(), f64::from(step.percent) / 100.0);
         }
@@ -162,7 +162,7 @@
 
 #[test]
 fn one_tail_that_stands_out_from_its_siblings_slows_nothing() {
-    let mut control = PaceControl::default();
+    let mut control = PaceController::default();
     let mut known = HashMap::new();
     for task in ["s.0.0.0", "s.0.0.1", "s.0.0.2"] {
         let serving = traits(task, TARGET_MS, Vec::new());
@@ -171,7 +171,7 @@
     let fill = traits("f.0.0.0", 0, Vec::new());
     known.insert(fill.task.clone(), fill);
     let running = [run("s.0.0.0", 50), run("s.0.0.1", 300), run("s.0.0.2", 48), run("f.0.0.0", 0)];
-    assert_eq!(control.look(&running, &known, Instant::now()), []);
+    assert_eq!(control.update(&running, &known, Instant::now()), []);
 }
 
 #[test]
@@ -181,7 +181,7 @@
     let first = worker.look(0.7);
     assert_eq!(first.len(), 1);
     assert_eq!(worker.look(0.7), [], "once is enough");
-    worker.control.on_failed(&first[0].key);
+    worker.control.on_rejected(&first[0].key);
     assert_eq!(worker.look(0.7).len(), 1);
 }
 
@@ -191,7 +191,7 @@
 /// A worker with two tasks of one job that serve, of which the second has the higher load, beside one fill.
 struct PlayedSiblings {
     now: Instant,
-    control: PaceControl,
+    control: PaceController,
     traits: HashMap<TaskName, TaskTraits>,
     /// What the fill adds to both at full pace.
     added: f64,
@@ -208,7 +208,7 @@
         let effect = ImageEffect { serving: "image".to_string(), added_permille: 100 };
         let fill = traits("f.0.0.0", 0, vec![effect]);
         known.insert(fill.task.clone(), fill);
-        let control = PaceControl::default();
+        let control = PaceController::default();
         PlayedSiblings { now: Instant::now(), control, traits: known, added, pace: 1.0 }
     }
 
@@ -225,7 +225,7 @@
             self.now += LOOK;
             let running =
                 [run("s.0.0.0", tails[0]), run("s.0.0.1", tails[1]), run("f.0.0.0", 1_000)];
-            for step in self.control.look(&running, &self.traits, self.now) {
+            for step in self.control.update(&running, &self.traits, self.now) {
                 self.pace = f64::from(step.percent) / 100.0;
             }
         }
