--- a/src/process/node/runner_lease.rs
+++ b/src/process/node/runner_lease.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use crate::external::runner_control::RunnerMillis;
-use crate::workflow::grant::LONGEST_LEASE;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::grant::MAX_LEASE;
+use crate::workflow::grant::expired_by;
 
 /// A start is not tried with less than this left of the lease.
 const LEAST_LEASE: Duration = Duration::from_millis(150);
@@ -39,7 +39,7 @@
             answered: now,
             granted_until: None,
             sent_until: None,
-            inherited_until: now + LONGEST_LEASE,
+            inherited_until: now + MAX_LEASE,
             clock: None,
         }
     }
@@ -181,6 +181,6 @@
 
     fn is_over(&self, until: Instant, now: Instant) -> bool {
         let left = until.saturating_duration_since(self.answered);
-        now >= surely_expired(self.answered, left) && self.is_silent(now)
+        now >= expired_by(self.answered, left) && self.is_silent(now)
     }
 }
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -25,8 +25,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
-use crate::workflow::grant::grant_span;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::grant::expired_by;
+use crate::workflow::grant::lease_duration;
 
 /// Time for a connection to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -240,8 +240,8 @@
         };
         let mut owned = self.shared.owned();
         if let (Some(owned), Some(instance)) = (owned.as_mut(), instance) {
-            let span = grant_span(owned.proof, received);
-            owned.planner.on_grant(&instance, surely_expired(received, span));
+            let span = lease_duration(owned.proof, received);
+            owned.planner.on_grant(&instance, expired_by(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
             call.seen = owned.planner.acked(&instance);
         }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -39,7 +39,7 @@
 use crate::process::planning::shared::OwnedPlanner;
 use crate::process::planning::shared::PlannerShared;
 use crate::process::planning::table_feed::TableFeed;
-use crate::workflow::grant::predecessors_expired;
+use crate::workflow::grant::predecessor_leases_expired_by;
 use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
@@ -139,8 +139,11 @@
     /// Reads all jobs and their progress. Gives the version from which on changes of jobs are new.
     async fn load(&mut self) -> Result<RowVersion, String> {
         let answered = self.proof.answered;
-        let expired =
-            if self.proof.has_predecessor { predecessors_expired(answered) } else { answered };
+        let expired = if self.proof.has_predecessor {
+            predecessor_leases_expired_by(answered)
+        } else {
+            answered
+        };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.names()).await?;
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -114,9 +114,9 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// planner.on_grant("i-1", Instant::now());
     /// ```
-    pub fn on_grant(&mut self, instance: &str, surely_expired: Instant) {
+    pub fn on_grant(&mut self, instance: &str, expired_by: Instant) {
         let worker = self.board.entry(instance, self.inherited_end);
-        worker.lease_end = worker.lease_end.max(surely_expired);
+        worker.lease_end = worker.lease_end.max(expired_by);
     }
 
     /// Opens occurrences that are due, gives up what silent workers had, and moves tasks that are held up.
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -18,8 +18,8 @@
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::assigned_run::AssignedRun;
 use crate::workflow::assigned_run::RunWork;
-use crate::workflow::grant::LONGEST_LEASE;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::grant::MAX_LEASE;
+use crate::workflow::grant::expired_by;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::progress::RunEnd;
@@ -122,7 +122,7 @@
         let worker = self.board.entry(&status.instance, self.inherited_end);
         if has_former && worker.status.is_none() {
             // Calls for a former life may have given the new one a lease that nobody knows of.
-            worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
+            worker.lease_end = worker.lease_end.max(expired_by(self.now, MAX_LEASE));
         }
         worker.status = Some(status.clone());
         worker.heard = Some(self.now);
--- a/tests/planning_world/events.rs
+++ b/tests/planning_world/events.rs
@@ -205,9 +205,9 @@
             wait: Duration::from_millis(400),
         };
         if let Some(instance) = instance {
-            let span = grant_span(process.proof, now);
+            let span = lease_duration(process.proof, now);
             if self.missing != Missing::LeaseWait {
-                process.planner.on_grant(&instance, surely_expired(now, span));
+                process.planner.on_grant(&instance, expired_by(now, span));
             }
             call.grant = Some(LeaseGrant { since, span });
             call.seen = process.planner.acked(&instance);
--- a/tests/planning_world/runner.rs
+++ b/tests/planning_world/runner.rs
@@ -114,7 +114,7 @@
 }
 
 /// Longest lease; longer ones are shortened.
-const LONGEST_LEASE: u64 = 10_000;
+const MAX_LEASE: u64 = 10_000;
 
 /// What a runner answers to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -295,7 +295,7 @@
 
     /// Takes a longer lease, up to the longest that there is.
     fn extend(&mut self, until: u64, now: u64) {
-        self.until = self.until.max(until.min(self.clock(now) + LONGEST_LEASE));
+        self.until = self.until.max(until.min(self.clock(now) + MAX_LEASE));
     }
 
     pub fn is_idle(&self) -> bool {
--- a/tests/planning_world/schedule.rs
+++ b/tests/planning_world/schedule.rs
@@ -271,7 +271,8 @@
         self.owner_epoch += 1;
         let now = self.instant();
         let waits = self.owner_epoch > 1 && self.missing != Missing::LeaseWait;
-        let mut planner = Planner::new(if waits { predecessors_expired(now) } else { now });
+        let mut planner =
+            Planner::new(if waits { predecessor_leases_expired_by(now) } else { now });
         planner.set_time(now, WALL + self.now);
         for (job, (version, record)) in &self.records {
             planner.on_record(job, *version, record.clone());
