--- a/src/workflow/job_forecast.rs
+++ b/src/workflow/job_forecast.rs
@@ -10,13 +10,13 @@
 use crate::workflow::task_name::TaskName;
 
 /// Progress that has to be seen of a run before its rate is believed, in percent: reports are rounded to one.
-const LEAST_PROGRESS: f64 = 10.0;
+const MIN_PROGRESS: f64 = 10.0;
 /// The longest of several unseen tasks against their usual duration: tasks of one step differ by about a fifth.
-const UNSEEN_LONGEST: f64 = 1.2;
+const UNMEASURED_MAX_FACTOR: f64 = 1.2;
 
 /// A task within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TaskPlace {
+pub struct TaskPosition {
     /// Occurrence of the job.
     pub occurrence: u32,
     /// Number of the step.
@@ -25,9 +25,9 @@
     pub index: u32,
 }
 
-impl From<&TaskName> for TaskPlace {
-    fn from(name: &TaskName) -> TaskPlace {
-        TaskPlace { occurrence: name.occurrence, step: name.step, index: name.index }
+impl From<&TaskName> for TaskPosition {
+    fn from(name: &TaskName) -> TaskPosition {
+        TaskPosition { occurrence: name.occurrence, step: name.step, index: name.index }
     }
 }
 
@@ -35,25 +35,25 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct TaskForecast {
     total_ms: f64,
-    left_ms: f64,
+    remaining_ms: f64,
 }
 
 /// What is known of the tasks of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct StepForecast {
-    tasks: BTreeMap<TaskPlace, TaskForecast>,
+    tasks: BTreeMap<TaskPosition, TaskForecast>,
     /// Geometric mean of the known durations, in milliseconds.
-    usual_ms: f64,
+    mean_ms: f64,
     /// The longest of them.
-    longest_ms: f64,
+    max_ms: f64,
 }
 
 impl StepForecast {
-    fn learn(&mut self, place: TaskPlace, task: TaskForecast) {
-        self.tasks.insert(place, task);
+    fn learn(&mut self, position: TaskPosition, task: TaskForecast) {
+        self.tasks.insert(position, task);
         let logs: f64 = self.tasks.values().map(|task| task.total_ms.max(1.0).ln()).sum();
-        self.usual_ms = (logs / self.tasks.len() as f64).exp();
-        self.longest_ms = self.tasks.values().map(|task| task.total_ms).fold(0.0, f64::max);
+        self.mean_ms = (logs / self.tasks.len() as f64).exp();
+        self.max_ms = self.tasks.values().map(|task| task.total_ms).fold(0.0, f64::max);
     }
 }
 
@@ -69,26 +69,31 @@
     ///
     /// ```
     /// use greengagearch::workflow::job_forecast::JobForecast;
-    /// use greengagearch::workflow::job_forecast::TaskPlace;
+    /// use greengagearch::workflow::job_forecast::TaskPosition;
     /// use greengagearch::workflow::spec::StepSpec;
     /// use greengagearch::workflow::spec::WorkflowSpec;
     ///
-    /// let place = TaskPlace { occurrence: 0, step: 0, index: 0 };
+    /// let position = TaskPosition { occurrence: 0, step: 0, index: 0 };
     /// let step = StepSpec { count: 1, estimate_ms: 1_000, ..StepSpec::default() };
     /// let spec = WorkflowSpec { steps: vec![step], ..WorkflowSpec::unknown() };
     /// let mut forecast = JobForecast::default();
-    /// assert_eq!(forecast.left_ms(&spec, place), 1_000.0);
-    /// forecast.on_progress(place, (0.0, 20.0), 400.0);
-    /// assert_eq!(forecast.left_ms(&spec, place), 1_600.0);
+    /// assert_eq!(forecast.remaining_ms(&spec, position), 1_000.0);
+    /// forecast.record_progress(position, (0.0, 20.0), 400.0);
+    /// assert_eq!(forecast.remaining_ms(&spec, position), 1_600.0);
     /// ```
-    pub fn on_progress(&mut self, place: TaskPlace, (from, to): (f64, f64), worked_ms: f64) {
-        if to - from < LEAST_PROGRESS || worked_ms <= 0.0 {
+    pub fn record_progress(
+        &mut self,
+        position: TaskPosition,
+        (from, to): (f64, f64),
+        worked_ms: f64,
+    ) {
+        if to - from < MIN_PROGRESS || worked_ms <= 0.0 {
             return;
         }
         let total_ms = worked_ms * 100.0 / (to - from);
-        let left_ms = total_ms * (100.0 - to).max(0.0) / 100.0;
-        let step = self.steps.entry(place.step).or_default();
-        step.learn(place, TaskForecast { total_ms, left_ms });
+        let remaining_ms = total_ms * (100.0 - to).max(0.0) / 100.0;
+        let step = self.steps.entry(position.step).or_default();
+        step.learn(position, TaskForecast { total_ms, remaining_ms });
     }
 
     /// The longest duration that is expected among the tasks of a step, in milliseconds.
@@ -97,34 +102,34 @@
     /// use greengagearch::workflow::job_forecast::JobForecast;
     /// use greengagearch::workflow::spec::WorkflowSpec;
     ///
-    /// assert_eq!(JobForecast::default().longest_ms(&WorkflowSpec::unknown(), 0), 0.0);
+    /// assert_eq!(JobForecast::default().max_ms(&WorkflowSpec::unknown(), 0), 0.0);
     /// ```
-    pub fn longest_ms(&self, spec: &WorkflowSpec, step: u32) -> f64 {
+    pub fn max_ms(&self, spec: &WorkflowSpec, step: u32) -> f64 {
         let (count, declared_ms) = declared(spec, step);
         let Some(known) = self.steps.get(&step) else {
             return declared_ms;
         };
-        let is_seen = known.tasks.len() >= (count * spec.occurrences()) as usize;
-        let unseen_ms = if is_seen { 0.0 } else { known.usual_ms * UNSEEN_LONGEST };
-        known.longest_ms.max(unseen_ms)
+        let is_measured = known.tasks.len() >= (count * spec.occurrences()) as usize;
+        let unmeasured_ms = if is_measured { 0.0 } else { known.mean_ms * UNMEASURED_MAX_FACTOR };
+        known.max_ms.max(unmeasured_ms)
     }
 
     /// What is left of a task that is not done, in milliseconds.
     ///
     /// ```
     /// use greengagearch::workflow::job_forecast::JobForecast;
-    /// use greengagearch::workflow::job_forecast::TaskPlace;
+    /// use greengagearch::workflow::job_forecast::TaskPosition;
     /// use greengagearch::workflow::spec::WorkflowSpec;
     ///
-    /// let place = TaskPlace { occurrence: 0, step: 0, index: 0 };
-    /// assert_eq!(JobForecast::default().left_ms(&WorkflowSpec::unknown(), place), 0.0);
+    /// let position = TaskPosition { occurrence: 0, step: 0, index: 0 };
+    /// assert_eq!(JobForecast::default().remaining_ms(&WorkflowSpec::unknown(), position), 0.0);
     /// ```
-    pub fn left_ms(&self, spec: &WorkflowSpec, place: TaskPlace) -> f64 {
-        let Some(known) = self.steps.get(&place.step) else {
-            return declared(spec, place.step).1;
+    pub fn remaining_ms(&self, spec: &WorkflowSpec, position: TaskPosition) -> f64 {
+        let Some(known) = self.steps.get(&position.step) else {
+            return declared(spec, position.step).1;
         };
-        let task = known.tasks.get(&place);
-        task.map_or(known.usual_ms, |task| task.left_ms)
+        let task = known.tasks.get(&position);
+        task.map_or(known.mean_ms, |task| task.remaining_ms)
     }
 }
 
--- a/src/workflow/job_outlook.rs
+++ b/src/workflow/job_outlook.rs
@@ -1,6 +1,6 @@
 //! What is left of a job and by when it has to be done, as its urgency is judged.
 
-use crate::workflow::job_forecast::TaskPlace;
+use crate::workflow::job_forecast::TaskPosition;
 use crate::workflow::planner_jobs::JobEntry;
 use crate::workflow::spec::StepSpec;
 
@@ -24,12 +24,13 @@
         for (step, declared) in (0..).zip(&spec.steps) {
             let tasks = steps.and_then(|steps| steps.get(step as usize)).into_iter().flatten();
             let open = (0..).zip(tasks).filter(|(_, task)| !task.done);
-            let places = open.map(|(index, _)| TaskPlace { occurrence, step, index });
-            let left: Vec<f64> = places.map(|place| entry.forecast.left_ms(spec, place)).collect();
+            let positions = open.map(|(index, _)| TaskPosition { occurrence, step, index });
+            let left: Vec<f64> =
+                positions.map(|position| entry.forecast.remaining_ms(spec, position)).collect();
             rest_work += left.iter().sum::<f64>() * declared.room.millicores as f64 / 1_000.0;
             rests.push(left.into_iter().fold(0.0, f64::max));
         }
-        let longest = (0..).zip(&spec.steps).map(|(step, _)| entry.forecast.longest_ms(spec, step));
+        let longest = (0..).zip(&spec.steps).map(|(step, _)| entry.forecast.max_ms(spec, step));
         let chain_ms = longest_chain(&spec.steps, &longest.collect::<Vec<f64>>());
         JobOutlook {
             rest_ms: longest_chain(&spec.steps, &rests) as u64,
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -222,7 +222,7 @@
         for (name, work) in works {
             if let Some(entry) = self.jobs.get_mut(&name.job) {
                 let span = (f64::from(work.from_percent), f64::from(work.to_percent));
-                entry.forecast.on_progress(name.into(), span, work.full_ms);
+                entry.forecast.record_progress(name.into(), span, work.full_ms);
             }
         }
     }
--- a/tests/job_forecast.rs
+++ b/tests/job_forecast.rs
@@ -6,7 +6,7 @@
 mod planning;
 
 use greengagearch::workflow::job_forecast::JobForecast;
-use greengagearch::workflow::job_forecast::TaskPlace;
+use greengagearch::workflow::job_forecast::TaskPosition;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
@@ -16,8 +16,8 @@
 use crate::planning::job;
 use crate::planning::step;
 
-fn place(step: u32, index: u32) -> TaskPlace {
-    TaskPlace { occurrence: 0, step, index }
+fn position(step: u32, index: u32) -> TaskPosition {
+    TaskPosition { occurrence: 0, step, index }
 }
 
 /// Tasks that fill, one a worker at a time by their memory.
@@ -46,23 +46,23 @@
 fn a_tenth_of_the_work_tells_the_duration_of_a_task_and_of_its_siblings() {
     let spec = steps_of(&[3, 2]);
     let mut forecast = JobForecast::default();
-    forecast.on_progress(place(0, 0), (10.0, 15.0), 500.0);
-    assert_eq!(forecast.left_ms(&spec, place(0, 0)), 1_000.0, "too little was seen");
-    forecast.on_progress(place(0, 0), (10.0, 35.0), 1_000.0);
-    assert_eq!(forecast.left_ms(&spec, place(0, 0)), 2_600.0);
-    assert_eq!(forecast.left_ms(&spec, place(0, 1)).round(), 4_000.0);
-    assert_eq!(forecast.left_ms(&spec, place(1, 0)), 1_000.0, "another step says nothing");
+    forecast.record_progress(position(0, 0), (10.0, 15.0), 500.0);
+    assert_eq!(forecast.remaining_ms(&spec, position(0, 0)), 1_000.0, "too little was seen");
+    forecast.record_progress(position(0, 0), (10.0, 35.0), 1_000.0);
+    assert_eq!(forecast.remaining_ms(&spec, position(0, 0)), 2_600.0);
+    assert_eq!(forecast.remaining_ms(&spec, position(0, 1)).round(), 4_000.0);
+    assert_eq!(forecast.remaining_ms(&spec, position(1, 0)), 1_000.0, "another step says nothing");
 }
 
 #[test]
 fn the_longest_task_of_a_step_is_taken_to_be_longer_than_those_that_were_seen() {
     let spec = steps_of(&[2]);
     let mut forecast = JobForecast::default();
-    assert_eq!(forecast.longest_ms(&spec, 0), 1_000.0);
-    forecast.on_progress(place(0, 0), (0.0, 50.0), 1_000.0);
-    assert_eq!(forecast.longest_ms(&spec, 0).round(), 2_400.0);
-    forecast.on_progress(place(0, 1), (0.0, 50.0), 900.0);
-    assert_eq!(forecast.longest_ms(&spec, 0), 2_000.0);
+    assert_eq!(forecast.max_ms(&spec, 0), 1_000.0);
+    forecast.record_progress(position(0, 0), (0.0, 50.0), 1_000.0);
+    assert_eq!(forecast.max_ms(&spec, 0).round(), 2_400.0);
+    forecast.record_progress(position(0, 1), (0.0, 50.0), 900.0);
+    assert_eq!(forecast.max_ms(&spec, 0), 2_000.0);
 }
 
 #[test]
