--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -136,7 +136,7 @@
         self.evacuate();
         self.gather();
         for entry in self.jobs.values_mut() {
-            entry.outlook = None;
+            entry.remaining_work = None;
             let spec = &entry.spec;
             while entry.next_occurrence < spec.times
                 && spec.due_ms(entry.next_occurrence) <= wall_ms
@@ -257,7 +257,7 @@
         };
         let step = entry.step(&key.0).cloned().unwrap_or_default();
         entry.last_run_ms = self.wall_ms;
-        entry.outlook = None;
+        entry.remaining_work = None;
         if !entry.progress.on_end(&key.0, key.1, end, checkpoint, &step) {
             return;
         }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -7,13 +7,13 @@
 use crate::ids::JobId;
 use crate::ids::RowVersion;
 use crate::workflow::job_forecast::JobForecast;
-use crate::workflow::job_outlook::JobOutlook;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::progress::JobEnd;
 use crate::workflow::progress::JobProgress;
 use crate::workflow::progress::JobRecord;
 use crate::workflow::progress::JobStatus;
+use crate::workflow::remaining_work::RemainingWork;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 use crate::workflow::task_name::TaskName;
@@ -44,7 +44,7 @@
     /// What is known of how long its tasks take.
     pub forecast: JobForecast,
     /// What is left of it; nothing when that has to be worked out anew.
-    pub outlook: Option<JobOutlook>,
+    pub remaining_work: Option<RemainingWork>,
 }
 
 impl JobEntry {
@@ -83,7 +83,7 @@
             next_occurrence: 0,
             displaced_ms: 0,
             forecast: JobForecast::default(),
-            outlook: None,
+            remaining_work: None,
         }
     }
 
@@ -93,8 +93,8 @@
     }
 
     /// What is left of it, as of the last look at all jobs.
-    pub(crate) fn outlook(&self) -> JobOutlook {
-        self.outlook.unwrap_or_else(|| JobOutlook::of(self))
+    pub(crate) fn remaining_work(&self) -> RemainingWork {
+        self.remaining_work.unwrap_or_else(|| RemainingWork::of(self))
     }
 
     pub(crate) fn counts(&self) -> Vec<u32> {
@@ -258,7 +258,7 @@
             job: job.to_string(),
             end,
             age_ms: self.wall_ms.saturating_sub(entry.spec.accepted_ms),
-            objective_ms: JobOutlook::of(entry).objective_ms,
+            objective_ms: RemainingWork::of(entry).objective_ms,
         });
         self.dirty.insert(job.to_string());
         for (name, attempt) in entry.progress.attempts(job) {
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -8,7 +8,6 @@
 use crate::ids::JobId;
 use crate::ids::RunNumber;
 use crate::workflow::advice_cache::StepKey;
-use crate::workflow::job_outlook::JobOutlook;
 use crate::workflow::placement::PlacementNeed;
 use crate::workflow::placement::PlacementView;
 use crate::workflow::placement::RiskLimit;
@@ -16,6 +15,7 @@
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::planner_jobs::JobEntry;
+use crate::workflow::remaining_work::RemainingWork;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_progress::RunAttempt;
@@ -46,8 +46,8 @@
     /// assert_eq!(planner.plan(), 0);
     /// ```
     pub fn plan(&mut self) -> usize {
-        for entry in self.jobs.values_mut().filter(|entry| entry.outlook.is_none()) {
-            entry.outlook = Some(JobOutlook::of(entry));
+        for entry in self.jobs.values_mut().filter(|entry| entry.remaining_work.is_none()) {
+            entry.remaining_work = Some(RemainingWork::of(entry));
         }
         let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none());
         let mut order: Vec<(JobUrgency<'_>, &JobId)> =
--- a/src/workflow/urgency.rs
+++ b/src/workflow/urgency.rs
@@ -8,14 +8,14 @@
 
 /// Multiple of the objective after which a job's end is worth nothing to its caller, from the
 /// users' sheets; such jobs come last.
-const WORTHLESS_AFTER: u64 = 3;
+const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
 
 /// Share of the rest of a job that it takes at least: what is learned of durations is right to within a tenth, and
 /// siblings that are not seen yet differ.
-const SURE_SHARE: f64 = 0.85;
+const MIN_REMAINING_SHARE: f64 = 0.85;
 
 /// Jobs that serve and are due within this span, in milliseconds, are placed by their images.
-const SERVING_SPAN_MS: u64 = 4_000;
+const SERVING_DEADLINE_BUCKET_MS: u64 = 4_000;
 
 /// Place of a job in a round: smaller comes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
     fills: bool,
     /// Work that is left, so that of jobs that compete the shortest ends first (Schrage, "A Proof of the Optimality
     /// of the Shortest Remaining Processing Time Discipline", 1968); zero for what lasts.
-    rest_work: u64,
+    remaining_core_ms: u64,
     deadline_ms: u64,
     /// What serves, so that jobs of one image that come together are placed one after another.
     serving_image: &'a str,
@@ -39,23 +39,25 @@
         let spec = &entry.spec;
         let first_open = entry.progress.open.keys().next().copied().unwrap_or(0);
         let due_ms = spec.due_ms(first_open);
-        let outlook = entry.outlook();
-        let objective_ms = outlook.objective_ms;
-        let lasts = spec.steps.iter().any(|step| step.long_running);
-        let rest_ms = (outlook.rest_ms as f64 * SURE_SHARE) as u64;
-        let is_past =
-            |multiple: u64| !lasts && wall_ms + rest_ms > due_ms + multiple * objective_ms;
+        let remaining_work = entry.remaining_work();
+        let objective_ms = remaining_work.objective_ms;
+        let is_long_running = spec.steps.iter().any(|step| step.long_running);
+        let critical_path_ms =
+            (remaining_work.critical_path_ms as f64 * MIN_REMAINING_SHARE) as u64;
+        let is_past = |multiple: u64| {
+            !is_long_running && wall_ms + critical_path_ms > due_ms + multiple * objective_ms
+        };
         let serving = spec.steps.iter().find(|step| step.target_ms > 0);
         let deadline_ms = due_ms + objective_ms;
         // What lasts has no end that could be late; a little later does no harm.
-        let span_ms = if serving.is_some() { SERVING_SPAN_MS } else { 1 };
+        let bucket_ms = if serving.is_some() { SERVING_DEADLINE_BUCKET_MS } else { 1 };
         JobUrgency {
-            is_worthless: is_past(WORTHLESS_AFTER),
+            is_worthless: is_past(WORTHLESS_AFTER_OBJECTIVES),
             is_late: is_past(1),
             priority: spec.policy.priority,
             fills: entry.fills(),
-            rest_work: if lasts { 0 } else { outlook.rest_work },
-            deadline_ms: deadline_ms - deadline_ms % span_ms,
+            remaining_core_ms: if is_long_running { 0 } else { remaining_work.remaining_core_ms },
+            deadline_ms: deadline_ms - deadline_ms % bucket_ms,
             serving_image: serving.map_or("", |step| step.image.as_str()),
         }
     }
