--- a/src/platform/runner_client.rs
+++ b/src/platform/runner_client.rs
@@ -27,8 +27,8 @@
 use crate::platform::life_name::life_name;
 use crate::platform::life_name::runner_id;
 use crate::workflow::progress::RunEnd;
+use crate::workflow::task_name::InvalidTaskName;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::task_name::UnknownTask;
 
 /// Header that names the runner that a call is meant for, not which of its lives.
 const EXPECT_INSTANCE: &str = "X-Greengagearch-Expect-Instance";
@@ -312,5 +312,5 @@
 
 /// A list that names something else than tasks is no answer that anything may be concluded from.
 fn decode_task(text: &str) -> Result<TaskName, RunnerError> {
-    text.parse().map_err(|error: UnknownTask| unreadable(&error))
+    text.parse().map_err(|error: InvalidTaskName| unreadable(&error))
 }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -235,7 +235,7 @@
                 entry.progress.close_occurrence(occurrence);
             }
         }
-        if entry.progress.most_failures() >= entry.spec.policy.max_attempts {
+        if entry.progress.max_failures() >= entry.spec.policy.max_attempts {
             self.close(job, JobEnd::Failed);
         } else if entry.next_occurrence >= entry.spec.occurrences() && entry.progress.is_all_done()
         {
--- a/src/workflow/progress.rs
+++ b/src/workflow/progress.rs
@@ -339,9 +339,9 @@
     /// The largest number of failures of any task.
     ///
     /// ```
-    /// assert_eq!(greengagearch::workflow::progress::JobProgress::default().most_failures(), 0);
+    /// assert_eq!(greengagearch::workflow::progress::JobProgress::default().max_failures(), 0);
     /// ```
-    pub fn most_failures(&self) -> u32 {
+    pub fn max_failures(&self) -> u32 {
         let tasks = self.open.values().flatten().flatten();
         tasks.filter(|task| !task.done).map(|task| task.failures).max().unwrap_or(0)
     }
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -9,7 +9,7 @@
 
 /// Most tasks of one occurrence of a job, so that its row stays within the store's limit: a task
 /// takes at most about 100 bytes of the 64 KiB.
-pub const LARGEST_WORKFLOW: u32 = 500;
+pub const MAX_WORKFLOW_TASKS: u32 = 500;
 
 /// Resources that a task asks for, or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -303,8 +303,8 @@
             }
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > u64::from(LARGEST_WORKFLOW) {
-            findings.push(format!("steps: at most {LARGEST_WORKFLOW} tasks, not {tasks}"));
+        if tasks > u64::from(MAX_WORKFLOW_TASKS) {
+            findings.push(format!("steps: at most {MAX_WORKFLOW_TASKS} tasks, not {tasks}"));
         }
         findings
     }
--- a/src/workflow/task_name.rs
+++ b/src/workflow/task_name.rs
@@ -44,15 +44,15 @@
 /// A text that names no task.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("'{text}' names no task"))]
-pub struct UnknownTask {
+pub struct InvalidTaskName {
     /// The text.
     text: String,
 }
 
 impl FromStr for TaskName {
-    type Err = UnknownTask;
+    type Err = InvalidTaskName;
 
-    fn from_str(text: &str) -> Result<TaskName, UnknownTask> {
+    fn from_str(text: &str) -> Result<TaskName, InvalidTaskName> {
         let mut parts = text.rsplitn(4, '.');
         let mut number = || parts.next().and_then(|part| part.parse().ok());
         let (index, step, occurrence) = (number(), number(), number());
@@ -60,7 +60,7 @@
             (Some(job), Some(occurrence), Some(step), Some(index)) if !job.is_empty() => {
                 Ok(TaskName { job: job.to_string(), occurrence, step, index })
             }
-            _ => Err(UnknownTask { text: text.to_string() }),
+            _ => Err(InvalidTaskName { text: text.to_string() }),
         }
     }
 }
@@ -72,9 +72,9 @@
 }
 
 impl TryFrom<String> for TaskName {
-    type Error = UnknownTask;
+    type Error = InvalidTaskName;
 
-    fn try_from(text: String) -> Result<TaskName, UnknownTask> {
+    fn try_from(text: String) -> Result<TaskName, InvalidTaskName> {
         text.parse()
     }
 }
