--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -152,7 +152,7 @@
         count: 4,
         room: ResourceVector { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
         estimate_ms: 2_200,
-        fills: true,
+        best_effort: true,
         checkpoints: true,
         image: format!("filling-{}", number % FILL_IMAGES),
         ..StepSpec::default()
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -296,7 +296,7 @@
     /// Bound on its tail latency in milliseconds; zero for a task that does not serve.
     pub target_ms: u64,
     /// Whether it fills what others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// What it takes of the guarded capacity.
     pub room: ResourceVector,
     /// What it adds at full pace to the loads of tasks that serve, by their images.
@@ -317,7 +317,7 @@
     ///     task: "a.0.0.0".parse().unwrap(),
     ///     image: "f".to_string(),
     ///     target_ms: 0,
-    ///     fills: true,
+    ///     best_effort: true,
     ///     room: ResourceVector::default(),
     ///     effects: vec![ImageEffect { serving: "s".to_string(), added_permille: 40 }],
     ///     idle_tail_ms: 0,
--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -221,7 +221,7 @@
         long_running: wire.long_running,
         image: wire.image,
         target_ms: wire.target_ms,
-        fills: wire.fills,
+        best_effort: wire.fills,
         may_miss: wire.may_miss,
     }
 }
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -17,7 +17,7 @@
     /// Processor time that it would use at most, in thousandths of a core.
     pub millicores: u64,
     /// Whether it fills what others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// What it runs.
     pub image: String,
     /// Bound on its tail latency in milliseconds; zero for a run that does not serve.
@@ -85,7 +85,7 @@
         if seen.is_begun {
             self.begun_since.get_or_insert(now);
         }
-        let is_slow = self.fills && seen.pace_percent <= SLOW_PERCENT;
+        let is_slow = self.best_effort && seen.pace_percent <= SLOW_PERCENT;
         self.slow_since = if is_slow { self.slow_since.or(Some(now)) } else { None };
         self.seen = Some(seen);
         is_new_pace
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -229,7 +229,8 @@
         now: Instant,
     ) {
         self.record_inherited(running);
-        let fills = running.iter().filter(|run| traits.get(&run.task).is_some_and(|t| t.fills));
+        let fills =
+            running.iter().filter(|run| traits.get(&run.task).is_some_and(|t| t.best_effort));
         let mut paces = BTreeMap::new();
         for run in fills {
             let key = (run.task.clone(), run.run);
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -246,7 +246,7 @@
                 continue;
             }
             let load = self.load(&key.0).map_or(FIRST_LOAD, |load| load.value);
-            let fills = worker.assigned.values().filter(|other| other.fills);
+            let fills = worker.assigned.values().filter(|other| other.best_effort);
             let added: f64 = fills.map(|other| self.added(&run.image, &other.image)).sum();
             let own = self.added(&run.image, image);
             let expected = load + SWING_ROOM + added + own;
@@ -327,7 +327,7 @@
         overlap >= FULL_OVERLAP || overlap < LEAST_OVERLAP
     };
     let mut is_clear = true;
-    for run in worker.assigned.values().filter(|run| run.fills) {
+    for run in worker.assigned.values().filter(|run| run.best_effort) {
         if let Some(begin) = run.seen_since {
             let measured = run.seen.as_ref().map_or(0, |seen| seen.measured_percent);
             is_clear &= add(&run.image, begin, now, measured);
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -202,7 +202,7 @@
     let status = worker.status.as_ref()?;
     let step = need.step;
     let mut cost =
-        if step.fills { fill_cost(need, view, worker)? } else { packed_cost(need, worker) };
+        if step.best_effort { fill_cost(need, view, worker)? } else { packed_cost(need, worker) };
     if need.is_isolated {
         // Where the least is lost if it crashes this worker as well, and no other run is as new, so that the crash names it.
         let is_fresh = worker.newest().is_some_and(|at| view.now < at + FRESH_SPAN);
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -300,9 +300,13 @@
             task: name.clone(),
             image: step.image.clone(),
             target_ms: step.target_ms,
-            fills: step.fills,
+            best_effort: step.best_effort,
             room: step.counted_room(),
-            effects: if step.fills { self.interference.effects(&step.image) } else { Vec::new() },
+            effects: if step.best_effort {
+                self.interference.effects(&step.image)
+            } else {
+                Vec::new()
+            },
             idle_tail_ms: self.interference.idle_tail_of_image(&step.image).round() as u32,
         })
     }
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_gathering.rs
@@ -95,7 +95,7 @@
     /// Fills that are ready and wait, or are slowed.
     fn unmet_fills(&self) -> usize {
         let unmet: usize =
-            self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.fills)).sum();
+            self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.best_effort)).sum();
         let runs = self.board.iter().flat_map(|(_, worker)| worker.assigned.values());
         unmet + runs.filter(|run| run.slow_since.is_some()).count()
     }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -66,8 +66,8 @@
     }
 
     /// Whether it takes what others leave.
-    pub(crate) fn fills(&self) -> bool {
-        self.spec.steps.iter().any(|step| step.fills)
+    pub(crate) fn is_best_effort(&self) -> bool {
+        self.spec.steps.iter().any(|step| step.best_effort)
     }
 
     pub(crate) fn new(spec: WorkflowSpec, record_version: RowVersion) -> JobEntry {
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -73,7 +73,7 @@
         load.waiting = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
         let late = self.late_fill_jobs();
         let open = self.jobs.values().filter(|entry| entry.end.is_none());
-        load.fill_jobs = open.filter(|entry| entry.fills()).count();
+        load.fill_jobs = open.filter(|entry| entry.is_best_effort()).count();
         load.late_fill_jobs = late.len();
         for (_, worker) in self.board.iter() {
             load.held_back_workers += usize::from(worker.holds_fills_back());
@@ -81,16 +81,16 @@
             load.serving_workers += usize::from(worker.is_serving());
             for (key, run) in &worker.assigned {
                 load.serving += usize::from(run.target_ms > 0);
-                load.filling += usize::from(run.fills);
+                load.filling += usize::from(run.best_effort);
                 load.slowed += usize::from(run.slow_since.is_some());
-                if let Some(seen) = run.seen.as_ref().filter(|_| run.fills) {
+                if let Some(seen) = run.seen.as_ref().filter(|_| run.best_effort) {
                     load.fill_wanted += run.millicores * u64::from(seen.pace_percent) / 100;
                     load.fill_used += seen.usage;
                     if late.contains(key.0.job.as_str()) {
                         load.late_fill_used += seen.usage;
                     }
                 }
-                load.others += usize::from(!run.fills && run.target_ms == 0);
+                load.others += usize::from(!run.best_effort && run.target_ms == 0);
             }
         }
         load
@@ -98,7 +98,8 @@
 
     /// Open jobs that fill and can no longer be in time.
     fn late_fill_jobs(&self) -> HashSet<&str> {
-        let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.fills());
+        let open =
+            self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.is_best_effort());
         let late = open.filter(|(_, entry)| JobUrgency::of(entry, self.wall_ms).is_late());
         late.map(|(job, _)| job.as_str()).collect()
     }
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -36,7 +36,7 @@
         };
         let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < WAITED_MS;
         let is_recent = self.wall_ms.saturating_sub(entry.displaced_ms) < PAUSE_MS;
-        if spec.fills || is_early || is_recent {
+        if spec.best_effort || is_early || is_recent {
             return;
         }
         let Some(least) = self.cheapest_displacement(name, spec) else {
@@ -111,7 +111,7 @@
     ) -> bool {
         let priority = |job: &str| self.jobs.get(job).map(|entry| entry.spec.policy.priority);
         let is_urgent = priority(&name.job) < priority(&other.job);
-        !run.long_running && (is_urgent || spec.long_running && run.fills)
+        !run.long_running && (is_urgent || spec.long_running && run.best_effort)
     }
 
     /// Processor time that is lost when a run is stopped; what saves its work loses what it did since it saved.
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -63,7 +63,7 @@
     let mut changed = false;
     for (key, run) in &mut worker.assigned {
         match present.remove(key) {
-            Some(seen) => changed |= run.on_seen(seen, now) && run.fills,
+            Some(seen) => changed |= run.on_seen(seen, now) && run.best_effort,
             None if run.order.is_some_and(|order| order <= orders_seen || resync) => {
                 absent.push(key.clone());
             }
@@ -347,7 +347,7 @@
             return;
         }
         let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
-        let watched = known.filter(|(_, run)| run.fills || run.target_ms > 0);
+        let watched = known.filter(|(_, run)| run.best_effort || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in watched {
             if let Some(traits) = self.traits(&key.0).filter(|new| is_changed(run, new)) {
--- a/src/workflow/reservation.rs
+++ b/src/workflow/reservation.rs
@@ -46,7 +46,7 @@
     pub fn reserve(&mut self, task: &TaskName, step: &StepSpec, now: Instant, span: Duration) {
         self.reservations
             .retain(|reservation| reservation.until > now && reservation.task != *task);
-        let best_effort_millicores = if step.fills { step.room.millicores } else { 0 };
+        let best_effort_millicores = if step.best_effort { step.room.millicores } else { 0 };
         let (room, until) = (step.counted_room(), now + span);
         self.reservations.push(Reservation {
             task: task.clone(),
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -117,8 +117,8 @@
     #[serde(skip_serializing_if = "is_zero_wide")]
     pub target_ms: u64,
     /// Whether the tasks' processor time is not counted against the worker's capacity.
-    #[serde(skip_serializing_if = "is_false")]
-    pub fills: bool,
+    #[serde(rename = "fills", skip_serializing_if = "is_false")]
+    pub best_effort: bool,
     /// Tasks of the step that orders of the product may keep away at the same time.
     #[serde(skip_serializing_if = "is_zero")]
     pub may_miss: u32,
@@ -132,11 +132,11 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let room = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
-    /// let step = StepSpec { room, fills: true, ..StepSpec::default() };
+    /// let step = StepSpec { room, best_effort: true, ..StepSpec::default() };
     /// assert_eq!(step.counted_room().millicores, 0);
     /// ```
     pub fn counted_room(&self) -> ResourceVector {
-        let millicores = if self.fills { 0 } else { self.room.millicores };
+        let millicores = if self.best_effort { 0 } else { self.room.millicores };
         ResourceVector { millicores, ..self.room }
     }
 }
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -54,7 +54,7 @@
 }
 
 fn filling_of<'a>(need: &PlacementNeed<'a>) -> Option<(&'a str, RiskLimit)> {
-    need.step.fills.then_some((need.step.image.as_str(), need.risk))
+    need.step.best_effort.then_some((need.step.image.as_str(), need.risk))
 }
 
 /// Whether a need depends on nothing that is its task's alone.
--- a/src/workflow/urgency.rs
+++ b/src/workflow/urgency.rs
@@ -24,7 +24,7 @@
     is_late: bool,
     priority: u32,
     /// Whether it takes what others leave.
-    fills: bool,
+    is_best_effort: bool,
     /// Work that is left, so that of jobs that compete the shortest ends first (Schrage, "A Proof of the Optimality
     /// of the Shortest Remaining Processing Time Discipline", 1968); zero for what lasts.
     remaining_core_ms: u64,
@@ -55,7 +55,7 @@
             is_worthless: is_past(WORTHLESS_AFTER_OBJECTIVES),
             is_late: is_past(1),
             priority: spec.policy.priority,
-            fills: entry.fills(),
+            is_best_effort: entry.is_best_effort(),
             remaining_core_ms: if is_long_running { 0 } else { remaining_work.remaining_core_ms },
             deadline_ms: deadline_ms - deadline_ms % bucket_ms,
             serving_image: serving.map_or("", |step| step.image.as_str()),
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -106,7 +106,7 @@
         let run = AssignedRun {
             counted: step.counted_room(),
             millicores: step.room.millicores,
-            fills: step.fills,
+            best_effort: step.best_effort,
             image: step.image.clone(),
             target_ms: step.target_ms,
             checkpoints: step.checkpoints,
@@ -123,7 +123,7 @@
         };
         worker.used = worker.used.plus(&run.counted);
         worker.reservations.release(&key.0);
-        if run.fills {
+        if run.best_effort {
             worker.fills_changed = Some(now);
         }
         worker.assigned.insert(key, run);
@@ -140,7 +140,7 @@
         let worker = self.workers.get_mut(instance)?;
         let run = worker.assigned.remove(key)?;
         worker.isolated.take_if(|isolated| isolated == key);
-        if run.fills {
+        if run.best_effort {
             worker.fills_changed = Some(now);
             worker
                 .ended_fills
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -133,7 +133,7 @@
             let share = if run.target_ms > 0 { SERVING_USE } else { 1.0 };
             run.millicores as f64 * share
         };
-        let others = self.assigned.values().filter(|run| !run.fills);
+        let others = self.assigned.values().filter(|run| !run.best_effort);
         let used: f64 = others.map(use_of).sum();
         (status.capacity.millicores as f64 - used).max(0.0)
     }
@@ -147,7 +147,7 @@
     /// assert_eq!(board.entry("i-1", Instant::now()).fill_demand(), 0.0);
     /// ```
     pub fn fill_demand(&self) -> f64 {
-        let fills = self.assigned.values().filter(|run| run.fills);
+        let fills = self.assigned.values().filter(|run| run.best_effort);
         let share = |run: &AssignedRun| {
             let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
             f64::from(pace) / 100.0
@@ -165,7 +165,7 @@
     /// ```
     pub fn holds_fills_back(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
-        for run in self.assigned.values().filter(|run| run.fills) {
+        for run in self.assigned.values().filter(|run| run.best_effort) {
             let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
             wanted += run.millicores as f64;
             working += run.millicores as f64 * f64::from(pace) / 100.0;
--- a/standins/src/laboratory/offered_job.rs
+++ b/standins/src/laboratory/offered_job.rs
@@ -89,7 +89,7 @@
                 after: number.checked_sub(1).into_iter().collect(),
                 checkpoints: true,
                 image: image.clone(),
-                fills: true,
+                best_effort: true,
                 ..StepSpec::default()
             });
         }
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -30,7 +30,7 @@
 }
 
 fn filling(image: &str) -> StepSpec {
-    StepSpec { fills: true, image: image.to_string(), ..step(1, 200) }
+    StepSpec { best_effort: true, image: image.to_string(), ..step(1, 200) }
 }
 
 /// Lets some rounds pass in which every task that serves shows a tail.
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -146,7 +146,7 @@
     TaskTraits {
         image: "image".to_string(),
         target_ms,
-        fills: target_ms == 0,
+        best_effort: target_ms == 0,
         effects: if target_ms == 0 { vec![effect] } else { Vec::new() },
         idle_tail_ms: 25,
         ..plain_traits(task, ResourceVector::default())
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -45,7 +45,7 @@
         task: "a.0.0.0".parse().unwrap(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
+        best_effort: false,
         room: ResourceVector::default(),
         effects: Vec::new(),
         idle_tail_ms: 0,
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -40,7 +40,7 @@
         task: task.parse().unwrap(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
+        best_effort: false,
         room,
         effects: Vec::new(),
         idle_tail_ms: 0,
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -75,7 +75,7 @@
         task: key.0.clone(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
+        best_effort: false,
         room: ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 },
         effects: Vec::new(),
         idle_tail_ms: 0,
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -104,7 +104,7 @@
         image: "image".to_string(),
         target_ms,
         room: ResourceVector::default(),
-        fills: target_ms == 0,
+        best_effort: target_ms == 0,
         effects,
         idle_tail_ms: IDLE_MS as u32,
     }
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -33,7 +33,7 @@
 fn bulk(count: u32) -> WorkflowSpec {
     let image = "filling".to_string();
     let room = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
-    job(vec![StepSpec { fills: true, checkpoints: true, image, room, ..step(count, 1_000) }])
+    job(vec![StepSpec { best_effort: true, checkpoints: true, image, room, ..step(count, 1_000) }])
 }
 
 /// Lets rounds pass in which what serves is at work, but for what `is_away` names.
--- a/tests/planner_preemption.rs
+++ b/tests/planner_preemption.rs
@@ -31,7 +31,7 @@
 #[test]
 fn what_lasts_displaces_what_fills_and_no_more_than_it_needs() {
     let mut fleet = PlannedFleet::new(&["i-1", "i-2"]);
-    let fill = StepSpec { fills: true, checkpoints: true, ..half(4) };
+    let fill = StepSpec { best_effort: true, checkpoints: true, ..half(4) };
     fleet.submit("f", job(vec![fill]));
     fleet.round();
     assert_eq!(running_of(&fleet, "f"), 4);
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -116,7 +116,7 @@
     let serving = StepSpec { long_running: true, target_ms: 50, ..step(1, 500) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(2, 3_900) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(2, 3_900) };
     fleet.submit("a", job(vec![fill]));
     (0..20).for_each(|_| fleet.round());
     assert!(fleet.running().iter().any(|(_, key)| key.0.job == "a"));
@@ -223,7 +223,7 @@
     let mut fleet = PlannedFleet::new(&["i-1"]);
     let serving =
         StepSpec { long_running: true, target_ms: 50, image: "s".to_string(), ..step(1, 500) };
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(1, 3_000) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(1, 3_000) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
     fleet.submit("a", job(vec![fill]));
@@ -281,7 +281,7 @@
 #[test]
 fn a_planner_that_takes_over_tries_unseen_pairs_at_once() {
     let mut fleet = taken_over_while_serving();
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(1, 1_000) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(1, 1_000) };
     fleet.submit("a", job(vec![fill]));
     fleet.round();
     assert!(fleet.running().iter().any(|(_, key)| key.0.job == "a"));
