--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -139,7 +139,7 @@
 fn serving(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: ResourceVector { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
+        resources: ResourceVector { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
         long_running: true,
         target_ms: TARGET_MS,
         image: format!("serving-{}", number % SERVING_IMAGES),
@@ -150,7 +150,7 @@
 fn filling(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: ResourceVector { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
+        resources: ResourceVector { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
         estimate_ms: 2_200,
         best_effort: true,
         checkpoints: true,
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -298,7 +298,7 @@
     /// Whether it fills what others leave.
     pub best_effort: bool,
     /// What it takes of the guarded capacity.
-    pub room: ResourceVector,
+    pub resources: ResourceVector,
     /// What it adds at full pace to the loads of tasks that serve, by their images.
     pub effects: Vec<ImageEffect>,
     /// Tail latency of a task that serves when nothing loads it, in milliseconds; zero when not known.
@@ -318,7 +318,7 @@
     ///     image: "f".to_string(),
     ///     target_ms: 0,
     ///     best_effort: true,
-    ///     room: ResourceVector::default(),
+    ///     resources: ResourceVector::default(),
     ///     effects: vec![ImageEffect { serving: "s".to_string(), added_permille: 40 }],
     ///     idle_tail_ms: 0,
     /// };
--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -204,7 +204,7 @@
 fn decode_step(wire: WireStep) -> StepSpec {
     StepSpec {
         count: wire.count,
-        room: ResourceVector {
+        resources: ResourceVector {
             millicores: wire.millicores,
             memory_mib: wire.memory_mib,
             accelerators: wire.accelerators,
@@ -222,7 +222,7 @@
         image: wire.image,
         target_ms: wire.target_ms,
         best_effort: wire.fills,
-        may_miss: wire.may_miss,
+        max_unavailable: wire.may_miss,
     }
 }
 
--- a/src/process/node/orders.rs
+++ b/src/process/node/orders.rs
@@ -85,7 +85,7 @@
     }
 
     fn next_step(&self) -> StartStep {
-        let room = &self.order.traits.room;
+        let room = &self.order.traits.resources;
         self.shared.state().next_step(&self.target, &self.key, room, clock::now())
     }
 
@@ -95,7 +95,7 @@
         let slot = shared.order_slots.acquire().await;
         let lease_end = {
             let mut state = shared.state();
-            state.begin_try(&self.target, &self.key, &self.order.traits.room, clock::now())
+            state.begin_try(&self.target, &self.key, &self.order.traits.resources, clock::now())
         };
         let Some(lease_end) = lease_end else {
             return;
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -121,7 +121,8 @@
         };
         let others: BTreeSet<&RunKey> = self.present.iter().chain(self.book.starting()).collect();
         let others = others.into_iter().filter(|other| *other != key);
-        let rooms = others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.room);
+        let rooms =
+            others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.resources);
         let used = rooms.fold(*room, |used, room| used.plus(room));
         runner.status.capacity.contains(&used)
     }
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AssignedRun {
     /// What it takes of the guarded capacity.
-    pub counted: ResourceVector,
+    pub reserved: ResourceVector,
     /// Processor time that it would use at most, in thousandths of a core.
     pub millicores: u64,
     /// Whether it fills what others leave.
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -140,7 +140,7 @@
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.board.iter() {
         let room = worker.room_for(need.task, view.now);
-        let has_room = room.contains(&need.step.counted_room());
+        let has_room = room.contains(&need.step.reserved_resources());
         if !has_room || !fits_but_for_room(need, view, instance, worker) {
             continue;
         }
@@ -242,7 +242,7 @@
     worker: &WorkerEntry,
 ) -> Option<f64> {
     let room = worker.fill_room();
-    let wanted = need.step.room.millicores as f64;
+    let wanted = need.step.resources.millicores as f64;
     let demand =
         worker.fill_demand() + worker.reservations.best_effort_millicores(need.task, view.now);
     let is_alone = demand == 0.0 && room > 0.0;
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -301,7 +301,7 @@
             image: step.image.clone(),
             target_ms: step.target_ms,
             best_effort: step.best_effort,
-            room: step.counted_room(),
+            resources: step.reserved_resources(),
             effects: if step.best_effort {
                 self.interference.effects(&step.image)
             } else {
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_gathering.rs
@@ -138,12 +138,12 @@
             };
             let fitting = rooms.iter_mut().filter(|(other, room)| {
                 let fits = |entry| fits_but_for_room(&need, &view, other, entry);
-                room.contains(&run.counted) && self.board.get(other).is_some_and(fits)
+                room.contains(&run.reserved) && self.board.get(other).is_some_and(fits)
             });
             let Some((_, room)) = fitting.min_by_key(|(_, room)| room.millicores) else {
                 return false;
             };
-            *room = room.minus(&run.counted);
+            *room = room.minus(&run.reserved);
             true
         })
     }
@@ -164,7 +164,7 @@
     fn fullest_place(&self, name: &TaskName, from: &str) -> Option<InstanceId> {
         let need = self.move_need(name, from)?;
         let view = self.placement_view();
-        let wanted = need.step.counted_room();
+        let wanted = need.step.reserved_resources();
         let fitting = self.board.iter().filter(|(instance, worker)| {
             worker.is_serving()
                 && worker.room_for(name, self.now).contains(&wanted)
@@ -214,7 +214,7 @@
             let Some(entry) = self.board.get(to) else {
                 continue;
             };
-            let has_room = entry.room_for(&key.0, self.now).contains(&run.counted);
+            let has_room = entry.room_for(&key.0, self.now).contains(&run.reserved);
             if has_room && fits_but_for_room(&need, &view, to, entry) {
                 best = Some((lost, to));
             }
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -76,11 +76,11 @@
         instance: &str,
         worker: &WorkerEntry,
     ) -> Option<Displacement> {
-        let wanted = spec.counted_room();
+        let wanted = spec.reserved_resources();
         let mut free = worker.free_room();
         // What is stopping already comes free by itself.
         let stopping = worker.assigned.values().filter(|run| run.stopping);
-        stopping.for_each(|run| free = free.plus(&run.counted));
+        stopping.for_each(|run| free = free.plus(&run.reserved));
         let mut lesser: Vec<(u64, &RunKey, &AssignedRun)> = worker
             .assigned
             .iter()
@@ -94,7 +94,7 @@
             if free.contains(&wanted) {
                 break;
             }
-            free = free.plus(&run.counted);
+            free = free.plus(&run.reserved);
             displacement.runs.push(key.clone());
             displacement.lost += lost;
         }
--- a/src/workflow/remaining_work.rs
+++ b/src/workflow/remaining_work.rs
@@ -29,7 +29,7 @@
             let remaining: Vec<f64> =
                 positions.map(|position| entry.forecast.remaining_ms(spec, position)).collect();
             remaining_core_ms +=
-                remaining.iter().sum::<f64>() * declared.room.millicores as f64 / 1_000.0;
+                remaining.iter().sum::<f64>() * declared.resources.millicores as f64 / 1_000.0;
             max_remaining_ms.push(remaining.into_iter().fold(0.0, f64::max));
         }
         let max_durations =
--- a/src/workflow/reservation.rs
+++ b/src/workflow/reservation.rs
@@ -15,7 +15,7 @@
 struct Reservation {
     task: TaskName,
     /// Guarded capacity.
-    room: ResourceVector,
+    resources: ResourceVector,
     /// Processor time that it is to fill, in thousandths of a core.
     best_effort_millicores: u64,
     until: Instant,
@@ -46,11 +46,11 @@
     pub fn reserve(&mut self, task: &TaskName, step: &StepSpec, now: Instant, span: Duration) {
         self.reservations
             .retain(|reservation| reservation.until > now && reservation.task != *task);
-        let best_effort_millicores = if step.best_effort { step.room.millicores } else { 0 };
-        let (room, until) = (step.counted_room(), now + span);
+        let best_effort_millicores = if step.best_effort { step.resources.millicores } else { 0 };
+        let (room, until) = (step.reserved_resources(), now + span);
         self.reservations.push(Reservation {
             task: task.clone(),
-            room,
+            resources: room,
             best_effort_millicores,
             until,
         });
@@ -112,7 +112,7 @@
         task: &TaskName,
         now: Instant,
     ) -> ResourceVector {
-        self.others(task, now).fold(room, |room, reservation| room.minus(&reservation.room))
+        self.others(task, now).fold(room, |room, reservation| room.minus(&reservation.resources))
     }
 
     /// Processor time that others are to fill, in thousandths of a core.
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -119,7 +119,7 @@
 pub(crate) fn lasting_room(worker: &WorkerEntry) -> ResourceVector {
     let capacity = worker.status.as_ref().map(|status| status.capacity).unwrap_or_default();
     let lasting = worker.assigned.values().filter(|run| run.long_running);
-    lasting.fold(capacity, |room, run| room.minus(&run.counted))
+    lasting.fold(capacity, |room, run| room.minus(&run.reserved))
 }
 
 fn fills_beside(jobs: usize) -> f64 {
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -80,7 +80,8 @@
     /// Number of tasks.
     pub count: u32,
     /// What one task takes of a worker.
-    pub room: ResourceVector,
+    #[serde(rename = "room")]
+    pub resources: ResourceVector,
     /// Rough estimate of a task's duration, in milliseconds.
     pub estimate_ms: u64,
     /// Steps whose tasks must all be done first.
@@ -120,8 +121,8 @@
     #[serde(rename = "fills", skip_serializing_if = "is_false")]
     pub best_effort: bool,
     /// Tasks of the step that orders of the product may keep away at the same time.
-    #[serde(skip_serializing_if = "is_zero")]
-    pub may_miss: u32,
+    #[serde(rename = "may_miss", skip_serializing_if = "is_zero")]
+    pub max_unavailable: u32,
 }
 
 impl StepSpec {
@@ -132,12 +133,12 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let room = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
-    /// let step = StepSpec { room, best_effort: true, ..StepSpec::default() };
-    /// assert_eq!(step.counted_room().millicores, 0);
+    /// let step = StepSpec { resources: room, best_effort: true, ..StepSpec::default() };
+    /// assert_eq!(step.reserved_resources().millicores, 0);
     /// ```
-    pub fn counted_room(&self) -> ResourceVector {
-        let millicores = if self.best_effort { 0 } else { self.room.millicores };
-        ResourceVector { millicores, ..self.room }
+    pub fn reserved_resources(&self) -> ResourceVector {
+        let millicores = if self.best_effort { 0 } else { self.resources.millicores };
+        ResourceVector { millicores, ..self.resources }
     }
 }
 
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -21,7 +21,7 @@
     required_label: String,
     /// Of tasks that fill: their image, and how far they may go.
     filling: Option<(ImageName, RiskLimit)>,
-    room: ResourceVector,
+    resources: ResourceVector,
 }
 
 impl UnplaceableRequests {
@@ -37,7 +37,7 @@
                 service: need.service.to_string(),
                 required_label: need.step.required_label.clone(),
                 filling: filling_of(need).map(|(image, risk)| (image.to_string(), risk)),
-                room: need.step.room,
+                resources: need.step.resources,
             });
         }
     }
@@ -49,7 +49,7 @@
         self.service == need.service
             && self.required_label == need.step.required_label
             && filling == filling_of(need)
-            && need.step.room.contains(&self.room)
+            && need.step.resources.contains(&self.resources)
     }
 }
 
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -104,8 +104,8 @@
     ) {
         let worker = self.entry(instance, lease_end);
         let run = AssignedRun {
-            counted: step.counted_room(),
-            millicores: step.room.millicores,
+            reserved: step.reserved_resources(),
+            millicores: step.resources.millicores,
             best_effort: step.best_effort,
             image: step.image.clone(),
             target_ms: step.target_ms,
@@ -121,7 +121,7 @@
             stopping: false,
             work: None,
         };
-        worker.used = worker.used.plus(&run.counted);
+        worker.used = worker.used.plus(&run.reserved);
         worker.reservations.release(&key.0);
         if run.best_effort {
             worker.fills_changed = Some(now);
@@ -152,7 +152,7 @@
                 percent: run.seen.as_ref().map_or(0, |seen| seen.pace_percent),
             }));
         }
-        worker.used = worker.used.minus(&run.counted);
+        worker.used = worker.used.minus(&run.reserved);
         Some(run)
     }
 
@@ -178,10 +178,10 @@
         let Some(mut run) = before.assigned.remove(key) else {
             return false;
         };
-        before.used = before.used.minus(&run.counted);
+        before.used = before.used.minus(&run.reserved);
         let was_stopping = std::mem::replace(&mut run.stopping, false);
         if let Some(worker) = self.workers.get_mut(to) {
-            worker.used = worker.used.plus(&run.counted);
+            worker.used = worker.used.plus(&run.reserved);
             worker.assigned.insert(key.clone(), run);
         }
         was_stopping
--- a/standins/src/laboratory/offered_job.rs
+++ b/standins/src/laboratory/offered_job.rs
@@ -80,7 +80,7 @@
             durations.push(tasks.collect::<Vec<f64>>());
             specs.push(StepSpec {
                 count,
-                room: ResourceVector {
+                resources: ResourceVector {
                     millicores,
                     memory_mib: FILLING_MEMORY_MIB,
                     accelerators: 0,
@@ -108,8 +108,10 @@
     /// ```
     pub fn work(&self) -> f64 {
         let each = self.spec.steps.iter().zip(&self.durations);
-        each.map(|(step, tasks)| tasks.iter().sum::<f64>() * step.room.millicores as f64 / 1_000.0)
-            .sum()
+        each.map(|(step, tasks)| {
+            tasks.iter().sum::<f64>() * step.resources.millicores as f64 / 1_000.0
+        })
+        .sum()
     }
 
     /// Time within which it has to end to be in time, in milliseconds, by its true durations.
@@ -156,12 +158,12 @@
     let millicores = draw(rng, SERVING_MILLICORES).clamp(1_000.0, 5_100.0) as u64;
     let step = StepSpec {
         count: SERVING_TASKS,
-        room: ResourceVector { millicores, memory_mib: SERVING_MEMORY_MIB, accelerators: 0 },
+        resources: ResourceVector { millicores, memory_mib: SERVING_MEMORY_MIB, accelerators: 0 },
         estimate_ms: 320,
         long_running: true,
         image: format!("serve-{}", rng.random_range(0..SERVING_IMAGES)),
         target_ms: TARGET_MS,
-        may_miss: 1,
+        max_unavailable: 1,
         ..StepSpec::default()
     };
     workflow(vec![step], 0)
--- a/standins/src/laboratory/shared_fleet.rs
+++ b/standins/src/laboratory/shared_fleet.rs
@@ -165,14 +165,14 @@
         loop {
             let mut spec = serving_job(&mut self.rng);
             let step = &spec.steps[0];
-            taken += f64::from(step.count) * step.room.millicores as f64;
+            taken += f64::from(step.count) * step.resources.millicores as f64;
             if taken > room {
                 return;
             }
             let job = format!("serving{:03}", self.serving.len());
             let truth = RunTruth {
                 image: image_number(&step.image),
-                millicores: step.room.millicores,
+                millicores: step.resources.millicores,
                 work_ms: None,
                 load: Some(StepLoad::draw(&mut self.rng)),
             };
@@ -263,7 +263,7 @@
             let work_ms = job.durations.get(task.step as usize)?.get(task.index as usize)?;
             return Some(RunTruth {
                 image: image_number(&step.image),
-                millicores: step.room.millicores,
+                millicores: step.resources.millicores,
                 work_ms: Some(*work_ms),
                 load: None,
             });
--- a/standins/src/local_platform.rs
+++ b/standins/src/local_platform.rs
@@ -113,7 +113,7 @@
     let room = ResourceVector { millicores: 300, memory_mib: 100, accelerators: 0 };
     let step = |count: u32, after: Vec<usize>| StepSpec {
         count,
-        room,
+        resources: room,
         estimate_ms: 100,
         after,
         ..StepSpec::default()
--- a/tests/batch_order.rs
+++ b/tests/batch_order.rs
@@ -24,7 +24,7 @@
 /// Tasks so small that all find room at once.
 fn small(count: u32) -> StepSpec {
     let room = ResourceVector { millicores: 10, memory_mib: 10, accelerators: 0 };
-    StepSpec { room, ..step(count, 10) }
+    StepSpec { resources: room, ..step(count, 10) }
 }
 
 /// A job whose steps follow each other, so that it changes again as soon as a task has ended.
@@ -68,7 +68,7 @@
 #[test]
 fn a_batch_of_large_jobs_stays_within_the_bytes_of_a_transaction() {
     let mut fleet = PlannedFleet::new(&["i-1", "i-2"]);
-    let wide = StepSpec { room: ResourceVector::default(), ..small(800) };
+    let wide = StepSpec { resources: ResourceVector::default(), ..small(800) };
     (0..9).for_each(|number| fleet.submit(&format!("job{number:03}"), job(vec![wide.clone()])));
     fleet.planner.plan();
     let rows = fleet.store_one().unwrap();
--- a/tests/job_forecast.rs
+++ b/tests/job_forecast.rs
@@ -23,7 +23,14 @@
 /// Tasks that fill, one a worker at a time by their memory.
 fn wide(count: u32, estimate_ms: u64) -> StepSpec {
     let room = ResourceVector { millicores: 100, memory_mib: 3_000, accelerators: 0 };
-    StepSpec { count, room, estimate_ms, best_effort: true, checkpoints: true, ..step(count, 100) }
+    StepSpec {
+        count,
+        resources: room,
+        estimate_ms,
+        best_effort: true,
+        checkpoints: true,
+        ..step(count, 100)
+    }
 }
 
 fn steps_of(counts: &[u32]) -> WorkflowSpec {
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -46,7 +46,7 @@
         image: String::new(),
         target_ms: 0,
         best_effort: false,
-        room: ResourceVector::default(),
+        resources: ResourceVector::default(),
         effects: Vec::new(),
         idle_tail_ms: 0,
     };
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -41,7 +41,7 @@
         image: String::new(),
         target_ms: 0,
         best_effort: false,
-        room,
+        resources: room,
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -76,7 +76,7 @@
         image: String::new(),
         target_ms: 0,
         best_effort: false,
-        room: ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 },
+        resources: ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 },
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -103,7 +103,7 @@
         task: task.parse().unwrap(),
         image: "image".to_string(),
         target_ms,
-        room: ResourceVector::default(),
+        resources: ResourceVector::default(),
         best_effort: target_ms == 0,
         effects,
         idle_tail_ms: IDLE_MS as u32,
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -33,7 +33,13 @@
 fn bulk(count: u32) -> WorkflowSpec {
     let image = "filling".to_string();
     let room = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
-    job(vec![StepSpec { best_effort: true, checkpoints: true, image, room, ..step(count, 1_000) }])
+    job(vec![StepSpec {
+        best_effort: true,
+        checkpoints: true,
+        image,
+        resources: room,
+        ..step(count, 1_000)
+    }])
 }
 
 /// Lets rounds pass in which what serves is at work, but for what `is_away` names.
@@ -126,7 +132,8 @@
     let mut reservations = Reservations::default();
     let room = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
     let free = ResourceVector { millicores: 4_000, memory_mib: 400, accelerators: 0 };
-    let (step, span) = (StepSpec { room, ..StepSpec::default() }, Duration::from_secs(1));
+    let (step, span) =
+        (StepSpec { resources: room, ..StepSpec::default() }, Duration::from_secs(1));
     reservations.reserve(&mine, &step, now, span);
     assert_eq!(reservations.available_to(free, &mine, now), free);
     assert_eq!(reservations.available_to(free, &other, now).millicores, 1_000);
--- a/tests/planner_preemption.rs
+++ b/tests/planner_preemption.rs
@@ -15,7 +15,7 @@
 /// A step whose tasks take half the memory of a worker.
 fn half(count: u32) -> StepSpec {
     let room = ResourceVector { millicores: 100, memory_mib: 2_000, accelerators: 0 };
-    StepSpec { count, room, ..step(count, 100) }
+    StepSpec { count, resources: room, ..step(count, 100) }
 }
 
 fn with_priority(priority: u32, steps: Vec<StepSpec>) -> WorkflowSpec {
@@ -83,7 +83,7 @@
     fleet.submit("small", with_priority(2, vec![half(2)]));
     fleet.round();
     let mut large = half(1);
-    large.room.memory_mib = 5_000;
+    large.resources.memory_mib = 5_000;
     fleet.submit("large", with_priority(0, vec![large]));
     (0..30).for_each(|_| fleet.round());
     assert!(fleet.runners["i-1"].stops.is_empty());
--- a/tests/planning_search.rs
+++ b/tests/planning_search.rs
@@ -36,7 +36,7 @@
     };
     let step = |count: u32, after: Vec<usize>| {
         let room = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
-        StepSpec { count, room, estimate_ms: 500, after, ..StepSpec::default() }
+        StepSpec { count, resources: room, estimate_ms: 500, after, ..StepSpec::default() }
     };
     let spec = |steps: Vec<StepSpec>| WorkflowSpec {
         policy: policy.clone(),
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -117,7 +117,7 @@
                 NodeOrder::Start(start) => {
                     if one.state.begin_start(start, now) {
                         let key = (start.traits.task.clone(), start.run);
-                        let tried = StartTry { key, room: start.traits.room };
+                        let tried = StartTry { key, room: start.traits.resources };
                         next.push(Event::Try { agent, run, target: target.clone(), tried });
                     }
                 }
