--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -301,7 +301,7 @@
 
     /// Asks the advice service what the planner wants to know; the answer wakes the loop.
     fn ask_advice(&self) {
-        let questions = self.with_planner(Planner::take_questions).unwrap_or_default();
+        let questions = self.with_planner(Planner::take_advice_queries).unwrap_or_default();
         for question in questions {
             let shared = self.shared.clone();
             tokio::spawn(async move {
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -48,7 +48,7 @@
     pub(crate) task_suspicion: TaskSuspicion,
     pub(crate) interference: PairInterferenceModel,
     pub(crate) advice: AdviceCache,
-    pub(crate) questions: Vec<AdviceQuery>,
+    pub(crate) advice_queries: Vec<AdviceQuery>,
     pub(crate) dirty: ChangedJobs,
     pub(crate) held_starts: BTreeMap<JobId, Vec<(InstanceId, RunKey)>>,
     pub(crate) held_acks: BTreeMap<InstanceId, u64>,
@@ -81,7 +81,7 @@
             task_suspicion: TaskSuspicion::default(),
             interference: PairInterferenceModel::default(),
             advice: AdviceCache::default(),
-            questions: Vec::new(),
+            advice_queries: Vec::new(),
             dirty: ChangedJobs::default(),
             held_starts: BTreeMap::new(),
             held_acks: BTreeMap::new(),
@@ -166,10 +166,10 @@
     /// use std::time::Instant;
     ///
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert!(planner.take_questions().is_empty());
+    /// assert!(planner.take_advice_queries().is_empty());
     /// ```
-    pub fn take_questions(&mut self) -> Vec<AdviceQuery> {
-        std::mem::take(&mut self.questions)
+    pub fn take_advice_queries(&mut self) -> Vec<AdviceQuery> {
+        std::mem::take(&mut self.advice_queries)
     }
 
     /// Takes in an answer of the advice service, see [`AdviceCache::on_answer`].
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -113,7 +113,7 @@
         };
         let open = self.board.iter().filter(|(_, worker)| is_fit(worker));
         let workers = open.map(|(instance, _)| instance.clone()).collect();
-        self.questions.extend(self.advice.next_query(step, workers, self.now));
+        self.advice_queries.extend(self.advice.next_query(step, workers, self.now));
     }
 
     /// Steps whose turn has come.
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -130,7 +130,7 @@
     fleet.submit("a", advised);
     fleet.round();
     assert!(fleet.running().is_empty(), "nothing starts without advice");
-    let questions = fleet.planner.take_questions();
+    let questions = fleet.planner.take_advice_queries();
     assert_eq!(questions.len(), 1);
     assert_eq!(questions[0].workers, ["i-1", "i-2"]);
     let allowed = vec![("i-2".to_string(), "t".to_string())];
@@ -151,7 +151,7 @@
     advised.policy.advice = Some(AdvicePolicy { decide_ms: 10, each_ms: 1, valid_ms: 500 });
     fleet.submit("a", advised);
     fleet.round();
-    fleet.planner.take_questions();
+    fleet.planner.take_advice_queries();
     let asked_at = fleet.now();
     fleet.pass(Duration::from_millis(300));
     fleet.report_all();
@@ -159,7 +159,7 @@
     fleet.planner.on_advice(Some((allowed, Duration::from_millis(500))), asked_at);
     fleet.round();
     assert!(fleet.running().is_empty());
-    assert_eq!(fleet.planner.take_questions().len(), 1);
+    assert_eq!(fleet.planner.take_advice_queries().len(), 1);
 }
 
 #[test]
