--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -29,34 +29,34 @@
     /// Number of the order that carried it; nothing while the order waits for the store.
     pub order: Option<u64>,
     /// When it was assigned.
-    pub since: Instant,
+    pub assigned_at: Instant,
     /// What the worker last said of it.
-    pub seen: Option<PresentRun>,
+    pub last_report: Option<PresentRun>,
     /// When the worker first said that it runs.
-    pub seen_since: Option<Instant>,
+    pub first_reported_at: Option<Instant>,
     /// When the worker first showed that it has begun.
-    pub begun_since: Option<Instant>,
+    pub begun_at: Option<Instant>,
     /// What its agent was last told of it.
-    pub told: Option<TaskTraits>,
+    pub sent_traits: Option<TaskTraits>,
     /// Since when it may work only slowly, because it disturbs what serves.
-    pub slow_since: Option<Instant>,
+    pub throttled_since: Option<Instant>,
     /// Whether it was ordered to stop.
     pub stopping: bool,
     /// Its work since progress was first seen of it.
-    pub work: Option<RunWork>,
+    pub progress: Option<RunProgress>,
 }
 
 /// The work of a run since its progress was first seen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RunWork {
+pub struct RunProgress {
     /// Progress at the beginning, in percent.
     pub from_percent: u32,
     /// Newest progress, in percent.
     pub to_percent: u32,
     /// Time between both, in milliseconds at full pace.
-    pub full_ms: f64,
+    pub worked_ms: f64,
     /// When the newest was seen.
-    pub seen_at: Instant,
+    pub reported_at: Instant,
 }
 
 impl AssignedRun {
@@ -75,42 +75,42 @@
     /// board.assign("i-1", key.clone(), &StepSpec::default(), now, now);
     /// let run = board.get_mut("i-1").unwrap().assigned.get_mut(&key).unwrap();
     /// let seen = PresentRun { pace_percent: 10, ..PresentRun::ordered(key.0, 1) };
-    /// assert!(run.on_seen(seen, now));
+    /// assert!(run.on_report(seen, now));
     /// ```
-    pub fn on_seen(&mut self, seen: PresentRun, now: Instant) -> bool {
-        self.follow_work(&seen, now);
-        let before = self.seen.as_ref().map(|known| known.pace_percent);
+    pub fn on_report(&mut self, seen: PresentRun, now: Instant) -> bool {
+        self.record_progress(&seen, now);
+        let before = self.last_report.as_ref().map(|known| known.pace_percent);
         let is_new_pace = before != Some(seen.pace_percent);
-        self.seen_since.get_or_insert(now);
+        self.first_reported_at.get_or_insert(now);
         if seen.is_begun {
-            self.begun_since.get_or_insert(now);
+            self.begun_at.get_or_insert(now);
         }
         let is_slow = self.best_effort && seen.pace_percent <= SLOW_PERCENT;
-        self.slow_since = if is_slow { self.slow_since.or(Some(now)) } else { None };
-        self.seen = Some(seen);
+        self.throttled_since = if is_slow { self.throttled_since.or(Some(now)) } else { None };
+        self.last_report = Some(seen);
         is_new_pace
     }
 
     /// Adds the time since the look before, at the pace that the run had then.
-    fn follow_work(&mut self, seen: &PresentRun, now: Instant) {
+    fn record_progress(&mut self, seen: &PresentRun, now: Instant) {
         let percent = seen.progress_percent;
-        let pace = self.seen.as_ref().map_or(100, |known| known.pace_percent);
-        match &mut self.work {
+        let pace = self.last_report.as_ref().map_or(100, |known| known.pace_percent);
+        match &mut self.progress {
             Some(work) => {
-                let span = now.saturating_duration_since(work.seen_at).as_secs_f64();
-                work.full_ms += span * 10.0 * f64::from(pace);
+                let span = now.saturating_duration_since(work.reported_at).as_secs_f64();
+                work.worked_ms += span * 10.0 * f64::from(pace);
                 work.to_percent = percent;
-                work.seen_at = now;
+                work.reported_at = now;
             }
             // A run that was only just ordered shows none yet.
             None if percent > 0 => {
-                let work = RunWork {
+                let work = RunProgress {
                     from_percent: percent,
                     to_percent: percent,
-                    full_ms: 0.0,
-                    seen_at: now,
+                    worked_ms: 0.0,
+                    reported_at: now,
                 };
-                self.work = Some(work);
+                self.progress = Some(work);
             }
             None => {}
         }
@@ -119,13 +119,13 @@
 
 /// A run that filled and has ended of late.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndedFill {
+pub struct EndedBestEffortRun {
     /// What it ran.
     pub image: String,
     /// When it began.
-    pub begin: Instant,
+    pub started_at: Instant,
     /// When it ended.
-    pub end: Instant,
+    pub ended_at: Instant,
     /// Its last pace, in percent.
-    pub percent: u32,
+    pub pace_percent: u32,
 }
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -129,7 +129,7 @@
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
-            let tail = run.seen.as_ref().map_or(0, |seen| seen.usage) as f64;
+            let tail = run.last_report.as_ref().map_or(0, |seen| seen.usage) as f64;
             if tail > 0.0 {
                 let least = self.least_tails.entry(run.image.clone()).or_insert(tail);
                 *least = least.min(tail);
@@ -328,13 +328,13 @@
     };
     let mut is_clear = true;
     for run in worker.assigned.values().filter(|run| run.best_effort) {
-        if let Some(begin) = run.seen_since {
-            let measured = run.seen.as_ref().map_or(0, |seen| seen.measured_percent);
+        if let Some(begin) = run.first_reported_at {
+            let measured = run.last_report.as_ref().map_or(0, |seen| seen.measured_percent);
             is_clear &= add(&run.image, begin, now, measured);
         }
     }
-    for ended in &worker.ended_fills {
-        is_clear &= add(&ended.image, ended.begin, ended.end, ended.percent);
+    for ended in &worker.ended_best_effort {
+        is_clear &= add(&ended.image, ended.started_at, ended.ended_at, ended.pace_percent);
     }
     is_clear.then_some(fills)
 }
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -240,7 +240,7 @@
     pub(crate) fn end_run(&mut self, instance: &str, key: &RunKey, end: RunEnd, checkpoint: &str) {
         let released = self.board.release(instance, key, self.now);
         if let Some(run) = &released {
-            let ran = self.now.saturating_duration_since(run.since);
+            let ran = self.now.saturating_duration_since(run.assigned_at);
             self.decisions.push(PlanDecision::RunEnded {
                 task: key.0.clone(),
                 run: key.1,
@@ -249,7 +249,7 @@
                 ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
             });
         }
-        let seen = released.and_then(|run| run.seen).map(|seen| seen.checkpoint);
+        let seen = released.and_then(|run| run.last_report).map(|seen| seen.checkpoint);
         let known = seen.unwrap_or_default();
         let checkpoint = if checkpoint.is_empty() { known.as_str() } else { checkpoint };
         let Some(entry) = self.jobs.get_mut(&key.0.job) else {
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -165,7 +165,7 @@
                 && let Some(run) = worker.assigned.get_mut(key)
             {
                 run.order = Some(u64::MAX);
-                run.told = Some(order.traits.clone());
+                run.sent_traits = Some(order.traits.clone());
             }
             self.outbox.push((instance, NodeOrder::Start(order)));
         }
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_gathering.rs
@@ -97,7 +97,7 @@
         let unmet: usize =
             self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.best_effort)).sum();
         let runs = self.board.iter().flat_map(|(_, worker)| worker.assigned.values());
-        unmet + runs.filter(|run| run.slow_since.is_some()).count()
+        unmet + runs.filter(|run| run.throttled_since.is_some()).count()
     }
 
     fn serving_keys(&self, instance: &str) -> Vec<RunKey> {
@@ -223,7 +223,7 @@
     }
 
     fn is_settled(&self, run: &AssignedRun) -> bool {
-        !run.stopping && self.now.saturating_duration_since(run.since) >= LEAST_AGE
+        !run.stopping && self.now.saturating_duration_since(run.assigned_at) >= LEAST_AGE
     }
 
     /// Whether all tasks of a step run, are at work and are not about to be stopped.
@@ -243,7 +243,7 @@
             let worker = self.board.get(&attempt.worker);
             let seen =
                 worker.and_then(|worker| worker.assigned.get(&key)).filter(|run| !run.stopping);
-            let seen = seen.and_then(|run| run.seen.as_ref());
+            let seen = seen.and_then(|run| run.last_report.as_ref());
             seen.is_some_and(|seen| seen.progress_percent >= AT_WORK)
         })
     }
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -82,8 +82,8 @@
             for (key, run) in &worker.assigned {
                 load.serving += usize::from(run.target_ms > 0);
                 load.filling += usize::from(run.best_effort);
-                load.slowed += usize::from(run.slow_since.is_some());
-                if let Some(seen) = run.seen.as_ref().filter(|_| run.best_effort) {
+                load.slowed += usize::from(run.throttled_since.is_some());
+                if let Some(seen) = run.last_report.as_ref().filter(|_| run.best_effort) {
                     load.fill_wanted += run.millicores * u64::from(seen.pace_percent) / 100;
                     load.fill_used += seen.usage;
                     if late.contains(key.0.job.as_str()) {
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -74,7 +74,7 @@
                 continue;
             }
             for (key, run) in &worker.assigned {
-                let progress = run.seen.as_ref().map_or(0, |seen| seen.progress_percent);
+                let progress = run.last_report.as_ref().map_or(0, |seen| seen.progress_percent);
                 let can_go_on = run.long_running || run.checkpoints && progress < NEARLY_DONE;
                 if can_go_on && !run.stopping {
                     found.push((instance.clone(), key.clone()));
@@ -89,8 +89,8 @@
         for (instance, worker) in self.board.iter() {
             for (key, run) in &worker.assigned {
                 let held_for =
-                    run.slow_since.map(|since| self.now.saturating_duration_since(since));
-                let age = self.now.saturating_duration_since(run.since);
+                    run.throttled_since.map(|since| self.now.saturating_duration_since(since));
+                let age = self.now.saturating_duration_since(run.assigned_at);
                 let is_cheap = run.checkpoints || age < UNSAVED_AGE;
                 if held_for.is_some_and(|span| span >= HELD_UP_FOR) && is_cheap && !run.stopping {
                     found.push((instance.clone(), key.clone()));
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -116,7 +116,7 @@
 
     /// Processor time that is lost when a run is stopped; what saves its work loses what it did since it saved.
     fn loss(&self, run: &AssignedRun) -> u64 {
-        let ran = self.now.saturating_duration_since(run.since);
+        let ran = self.now.saturating_duration_since(run.assigned_at);
         let lost = if run.checkpoints { ran.min(SAVED_EVERY) } else { ran };
         u64::try_from(lost.as_millis()).unwrap_or(u64::MAX).saturating_mul(run.millicores)
     }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -17,7 +17,7 @@
 use crate::connection::node_protocol::StartOrder;
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::RunWork;
+use crate::workflow::assigned_run::RunProgress;
 use crate::workflow::grant::MAX_LEASE;
 use crate::workflow::grant::expired_by;
 use crate::workflow::plan_decision::PlanDecision;
@@ -34,7 +34,7 @@
 
 /// Whether an agent has to be told anew of a run.
 fn is_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
-    let Some(told) = &run.told else {
+    let Some(told) = &run.sent_traits else {
         return true;
     };
     let known = |serving: &str| told.effects.iter().find(|effect| effect.serving == serving);
@@ -63,7 +63,7 @@
     let mut changed = false;
     for (key, run) in &mut worker.assigned {
         match present.remove(key) {
-            Some(seen) => changed |= run.on_seen(seen, now) && run.best_effort,
+            Some(seen) => changed |= run.on_report(seen, now) && run.best_effort,
             None if run.order.is_some_and(|order| order <= orders_seen || resync) => {
                 absent.push(key.clone());
             }
@@ -191,8 +191,8 @@
         let absent = compare_runs(worker, present, look.orders_seen, resync, self.now);
         self.interference.learn(worker, self.now);
         let works = worker.assigned.iter().filter(|(_, run)| !run.long_running);
-        let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
-        let works: Vec<(TaskName, RunWork)> = works.collect();
+        let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.progress?)));
+        let works: Vec<(TaskName, RunProgress)> = works.collect();
         self.learn_durations(&works);
         self.describe_changed(instance);
         self.clear_survivors(instance);
@@ -218,11 +218,11 @@
         }
     }
 
-    fn learn_durations(&mut self, works: &[(TaskName, RunWork)]) {
+    fn learn_durations(&mut self, works: &[(TaskName, RunProgress)]) {
         for (name, work) in works {
             if let Some(entry) = self.jobs.get_mut(&name.job) {
                 let span = (f64::from(work.from_percent), f64::from(work.to_percent));
-                entry.forecast.record_progress(name.into(), span, work.full_ms);
+                entry.forecast.record_progress(name.into(), span, work.worked_ms);
             }
         }
     }
@@ -322,7 +322,7 @@
         let Some(worker) = self.board.get(instance) else {
             return;
         };
-        let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
+        let known = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
         let traits: Vec<(RunKey, TaskTraits)> =
             known.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
         let stopping: Vec<RunKey> = worker
@@ -346,7 +346,7 @@
         if worker.described.is_some_and(is_recent) {
             return;
         }
-        let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
+        let known = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
         let watched = known.filter(|(_, run)| run.best_effort || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in watched {
@@ -367,7 +367,7 @@
         };
         for (key, traits) in runs {
             if let Some(run) = worker.assigned.get_mut(&key) {
-                run.told = Some(traits.clone());
+                run.sent_traits = Some(traits.clone());
             }
             self.outbox.push((instance.to_string(), NodeOrder::Describe(traits)));
         }
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -264,7 +264,7 @@
                 .board
                 .get(&attempt.worker)
                 .and_then(|worker| worker.assigned.get(&(name.clone(), attempt.run)));
-            let age = run.map(|run| self.now.saturating_duration_since(run.since));
+            let age = run.map(|run| self.now.saturating_duration_since(run.assigned_at));
             let is_suspected = !self.task_suspicion.crashes(&name).is_empty();
             if age.is_some_and(|age| age > limit) && !task.done && !is_suspected {
                 late.push((name, attempt.worker.clone()));
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -8,7 +8,7 @@
 use crate::ids::InstanceId;
 use crate::ids::RunNumber;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::EndedFill;
+use crate::workflow::assigned_run::EndedBestEffortRun;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_entry::ENDED_KEPT;
@@ -112,14 +112,14 @@
             checkpoints: step.checkpoints,
             long_running: step.long_running,
             order: None,
-            since: now,
-            seen: None,
-            seen_since: None,
-            begun_since: None,
-            told: None,
-            slow_since: None,
+            assigned_at: now,
+            last_report: None,
+            first_reported_at: None,
+            begun_at: None,
+            sent_traits: None,
+            throttled_since: None,
             stopping: false,
-            work: None,
+            progress: None,
         };
         worker.used = worker.used.plus(&run.reserved);
         worker.reservations.release(&key.0);
@@ -143,13 +143,15 @@
         if run.best_effort {
             worker.fills_changed = Some(now);
             worker
-                .ended_fills
-                .retain(|ended| now.saturating_duration_since(ended.end) < ENDED_KEPT);
-            worker.ended_fills.extend(run.seen_since.map(|begin| EndedFill {
-                image: run.image.clone(),
-                begin,
-                end: now,
-                percent: run.seen.as_ref().map_or(0, |seen| seen.pace_percent),
+                .ended_best_effort
+                .retain(|ended| now.saturating_duration_since(ended.ended_at) < ENDED_KEPT);
+            worker.ended_best_effort.extend(run.first_reported_at.map(|begin| {
+                EndedBestEffortRun {
+                    image: run.image.clone(),
+                    started_at: begin,
+                    ended_at: now,
+                    pace_percent: run.last_report.as_ref().map_or(0, |seen| seen.pace_percent),
+                }
             }));
         }
         worker.used = worker.used.minus(&run.reserved);
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -6,7 +6,7 @@
 
 use crate::connection::node_protocol::RunnerStatus;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::EndedFill;
+use crate::workflow::assigned_run::EndedBestEffortRun;
 use crate::workflow::reservation::Reservations;
 use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
@@ -42,7 +42,7 @@
     /// When tasks that fill were last given, taken or paced here, as far as this planner knows.
     pub fills_changed: Option<Instant>,
     /// Runs that filled and have ended within [`ENDED_KEPT`].
-    pub ended_fills: Vec<EndedFill>,
+    pub ended_best_effort: Vec<EndedBestEffortRun>,
     /// When its agent was last told what has changed of its runs.
     pub described: Option<Instant>,
     /// Whether its assigned runs have to be compared with what its agent knows, after a new link.
@@ -65,7 +65,7 @@
             heard: None,
             full_until: None,
             fills_changed: None,
-            ended_fills: Vec::new(),
+            ended_best_effort: Vec::new(),
             described: None,
             resync: true,
             reservations: Reservations::default(),
@@ -149,7 +149,7 @@
     pub fn fill_demand(&self) -> f64 {
         let fills = self.assigned.values().filter(|run| run.best_effort);
         let share = |run: &AssignedRun| {
-            let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
+            let pace = run.last_report.as_ref().map_or(100, |seen| seen.pace_percent);
             f64::from(pace) / 100.0
         };
         fills.map(|run| run.millicores as f64 * share(run).max(LEAST_PACE_COUNTED)).sum()
@@ -166,7 +166,7 @@
     pub fn holds_fills_back(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
         for run in self.assigned.values().filter(|run| run.best_effort) {
-            let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
+            let pace = run.last_report.as_ref().map_or(100, |seen| seen.pace_percent);
             wanted += run.millicores as f64;
             working += run.millicores as f64 * f64::from(pace) / 100.0;
         }
@@ -207,7 +207,7 @@
     /// assert_eq!(board.entry("i-1", Instant::now()).newest(), None);
     /// ```
     pub fn newest(&self) -> Option<Instant> {
-        self.assigned.values().map(|run| run.since).max()
+        self.assigned.values().map(|run| run.assigned_at).max()
     }
 
     /// Whether a task of an image serves here.
