--- a/src/workflow/learned_interference.rs
+++ b/src/workflow/learned_interference.rs
@@ -15,7 +15,8 @@
     /// The image that serves.
     pub serving: ImageName,
     /// The image that fills.
-    pub filling: ImageName,
+    #[serde(rename = "filling")]
+    pub best_effort: ImageName,
     /// What one filling task at full pace adds to the load of the serving one.
     pub added_load: f64,
     /// Variance of that.
@@ -37,7 +38,8 @@
     /// Pairs of images.
     pub pairs: Vec<PairInterference>,
     /// Images that serve.
-    pub least_tails: Vec<MinTailLatency>,
+    #[serde(rename = "least_tails")]
+    pub min_tails: Vec<MinTailLatency>,
 }
 
 impl PairInterferenceModel {
@@ -50,15 +52,15 @@
     pub fn learned(&self) -> LearnedInterference {
         let pairs = self.each_pair().map(|(serving, filling, pair)| PairInterference {
             serving: serving.clone(),
-            filling: filling.clone(),
+            best_effort: filling.clone(),
             added_load: pair.value,
             variance: pair.variance,
         });
         let tails = self
-            .least_tails
+            .min_tails
             .iter()
             .map(|(image, tail_ms)| MinTailLatency { image: image.clone(), tail_ms: *tail_ms });
-        LearnedInterference { pairs: pairs.collect(), least_tails: tails.collect() }
+        LearnedInterference { pairs: pairs.collect(), min_tails: tails.collect() }
     }
 
     /// A model that begins with what a predecessor has learned.
@@ -73,13 +75,13 @@
     /// assert_eq!(model.summary(), "");
     /// ```
     pub fn from_learned(learned: LearnedInterference, now: Instant) -> PairInterferenceModel {
-        let tails = learned.least_tails.into_iter().map(|tail| (tail.image, tail.tail_ms));
+        let tails = learned.min_tails.into_iter().map(|tail| (tail.image, tail.tail_ms));
         let mut model = PairInterferenceModel::default();
         for pair in learned.pairs {
             let estimate = Estimate { value: pair.added_load, variance: pair.variance, at: now };
-            model.pairs.entry(pair.serving).or_default().insert(pair.filling, estimate);
+            model.pairs.entry(pair.serving).or_default().insert(pair.best_effort, estimate);
         }
-        model.least_tails = tails.collect();
+        model.min_tails = tails.collect();
         model
     }
 }
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -84,11 +84,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementRisk {
     /// The worst load that is expected, as a share of the load at the target.
-    pub pressure: f64,
+    pub load_ratio: f64,
     /// The most that the task itself adds to a load.
-    pub own: f64,
+    pub added_load: f64,
     /// Whether a pair that was never seen is among those that decide it.
-    pub is_unseen: bool,
+    pub is_unmeasured: bool,
 }
 
 impl PlacementRisk {
@@ -97,17 +97,17 @@
     /// ```
     /// use greengagearch::workflow::pair_interference::PlacementRisk;
     ///
-    /// assert!(PlacementRisk { pressure: 0.5, own: 0.1, is_unseen: false }.is_low());
+    /// assert!(PlacementRisk { load_ratio: 0.5, added_load: 0.1, is_unmeasured: false }.is_low());
     /// ```
     pub fn is_low(&self) -> bool {
-        self.pressure <= ALLOWED_PRESSURE || self.own <= LIGHT_LOAD
+        self.load_ratio <= ALLOWED_PRESSURE || self.added_load <= LIGHT_LOAD
     }
 }
 
 /// The learner.
 #[derive(Clone, Debug, Default)]
 pub struct PairInterferenceModel {
-    pub(crate) least_tails: BTreeMap<ImageName, f64>,
+    pub(crate) min_tails: BTreeMap<ImageName, f64>,
     /// By job and step, whose tasks swing alike.
     loads: BTreeMap<JobId, BTreeMap<u32, Estimate>>,
     /// By the image that serves, then by the one that fills.
@@ -131,7 +131,7 @@
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
             let tail = run.last_report.as_ref().map_or(0, |seen| seen.usage) as f64;
             if tail > 0.0 {
-                let least = self.least_tails.entry(run.image.clone()).or_insert(tail);
+                let least = self.min_tails.entry(run.image.clone()).or_insert(tail);
                 *least = least.min(tail);
                 tails.entry(load_key(&key.0)).or_default().push((tail, run));
             }
@@ -210,7 +210,7 @@
     /// assert_eq!(PairInterferenceModel::default().idle_tail(run), 10.0);
     /// ```
     pub fn idle_tail(&self, run: &AssignedRun) -> f64 {
-        let least = self.least_tails.get(&run.image);
+        let least = self.min_tails.get(&run.image);
         least.map_or(run.target_ms as f64 * FIRST_IDLE_SHARE, |least| least * IDLE_SHARE)
     }
 
@@ -221,7 +221,7 @@
     /// assert_eq!(model.idle_tail_of_image("x"), 0.0);
     /// ```
     pub fn idle_tail_of_image(&self, image: &str) -> f64 {
-        self.least_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
+        self.min_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
     }
 
     /// What a task of an image that fills would do on a worker.
@@ -234,10 +234,10 @@
     ///
     /// let mut board = WorkerBoard::default();
     /// let risk = PairInterferenceModel::default().risk(board.entry("i-1", Instant::now()), "x");
-    /// assert_eq!(risk.pressure, 0.0);
+    /// assert_eq!(risk.load_ratio, 0.0);
     /// ```
     pub fn risk(&self, worker: &WorkerEntry, image: &str) -> PlacementRisk {
-        let mut risk = PlacementRisk { pressure: 0.0, own: 0.0, is_unseen: false };
+        let mut risk = PlacementRisk { load_ratio: 0.0, added_load: 0.0, is_unmeasured: false };
         let mut last_step = None;
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
             // Tasks of one step come one after another, and one says what all do.
@@ -250,9 +250,9 @@
             let added: f64 = fills.map(|other| self.added(&run.image, &other.image)).sum();
             let own = self.added(&run.image, image);
             let expected = load + SWING_ROOM + added + own;
-            risk.own = risk.own.max(own);
-            risk.pressure = risk.pressure.max(expected / self.target_load(run));
-            risk.is_unseen |= self.pair(&run.image, image).is_none();
+            risk.added_load = risk.added_load.max(own);
+            risk.load_ratio = risk.load_ratio.max(expected / self.target_load(run));
+            risk.is_unmeasured |= self.pair(&run.image, image).is_none();
         }
         risk
     }
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -258,13 +258,13 @@
     }
     let risk = view.interference.risk(worker, &need.step.image);
     let is_allowed = match need.risk {
-        RiskLimit::Known => !risk.is_unseen && risk.is_low(),
+        RiskLimit::Known => !risk.is_unmeasured && risk.is_low(),
         RiskLimit::Explore => {
             let passed = |at: Instant| view.now.saturating_duration_since(at) > EXPLORE_PAUSE;
             let is_calm = worker.fills_changed.is_none_or(passed);
-            (!risk.is_unseen && risk.is_low()) || (risk.is_unseen && is_calm)
+            (!risk.is_unmeasured && risk.is_low()) || (risk.is_unmeasured && is_calm)
         }
         RiskLimit::Any => true,
     };
-    is_allowed.then_some(load + risk.pressure * RISK_COST + risk.own * OWN_COST)
+    is_allowed.then_some(load + risk.load_ratio * RISK_COST + risk.added_load * OWN_COST)
 }
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -16,12 +16,12 @@
 
 fn pair(serving: &str, filling: &str, added_load: f64) -> PairInterference {
     let (serving, filling) = (serving.to_string(), filling.to_string());
-    PairInterference { serving, filling, added_load, variance: 0.000_1 }
+    PairInterference { serving, best_effort: filling, added_load, variance: 0.000_1 }
 }
 
 fn learned(pairs: Vec<PairInterference>) -> LearnedInterference {
     let tail = |image: &str| MinTailLatency { image: image.to_string(), tail_ms: IDLE_TAIL_MS };
-    LearnedInterference { pairs, least_tails: ["s", "other"].map(tail).to_vec() }
+    LearnedInterference { pairs, min_tails: ["s", "other"].map(tail).to_vec() }
 }
 
 fn serving(image: &str) -> StepSpec {
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -235,7 +235,7 @@
     }
     let learned = fleet.planner.learned();
     assert_eq!(learned.pairs.len(), 1);
-    assert_eq!(learned.least_tails.len(), 1);
+    assert_eq!(learned.min_tails.len(), 1);
     let known = fleet.planner.learned_pairs();
     let stored = serde_json::to_vec(&learned).unwrap();
     fleet.take_over(fleet.now());
