--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -24,8 +24,8 @@
         let ours = crash.young.iter().filter(|young| is_ours(&young.task, young.run));
         let young = ours.map(|run| CrashedRun {
             task: run.task.clone(),
-            age: run.age,
-            lived: run.lived,
+            max_age: run.age,
+            min_age: run.lived,
             is_certain: run.is_certain,
         });
         let young: Vec<CrashedRun> = young.collect();
@@ -40,13 +40,13 @@
         let worker = self.board.get(instance).filter(|worker| !worker.is_over)?;
         let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
         let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
-        let is_told = self.task_suspicion.crashes(&task).iter().any(|one| one.life == instance);
+        let is_told = self.task_suspicion.crashes(&task).iter().any(|one| one.instance == instance);
         if is_told || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
         let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
         let (age, lived) = (YOUNG_SPAN, Duration::ZERO);
-        self.suspect(instance, &[CrashedRun { task, age, lived, is_certain }])
+        self.suspect(instance, &[CrashedRun { task, max_age: age, min_age: lived, is_certain }])
     }
 
     fn suspect(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
@@ -57,7 +57,7 @@
             self.decisions.push(PlanDecision::TaskIsolated { task, crashes, worker });
         }
         let young = young.iter().map(|run| &run.task);
-        young.chain(&verdict.explained).for_each(|task| self.keep_crashes(task));
+        young.chain(&verdict.exonerated).for_each(|task| self.keep_crashes(task));
         verdict.given_up
     }
 
@@ -98,7 +98,7 @@
         };
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
-            let proof = self.task_suspicion.proof_span(task);
+            let proof = self.task_suspicion.clearing_age(task);
             let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
             if proof.is_some_and(|proof| age.is_some_and(|age| age >= proof)) {
                 cleared.push(task.clone());
@@ -121,7 +121,7 @@
         let mut started = 0;
         for job in self.task_suspicion.isolated_jobs() {
             for name in self.isolated_tasks(&job) {
-                if !self.may_isolate() {
+                if !self.may_start_isolated() {
                     return started;
                 }
                 started += self.start_suspect(&name);
@@ -162,20 +162,20 @@
 
     /// Keeps other starts away from a worker that is given a suspect.
     pub(crate) fn isolate(&mut self, worker: &str, key: &RunKey) {
-        self.task_suspicion.on_isolated(self.now);
+        self.task_suspicion.on_isolated_start(self.now);
         if let Some(worker) = self.board.get_mut(worker) {
             worker.isolated.get_or_insert_with(|| key.clone());
         }
     }
 
     /// Whether one more isolated task may start now.
-    pub(crate) fn may_isolate(&self) -> bool {
+    pub(crate) fn may_start_isolated(&self) -> bool {
         let open = self.board.iter().filter(|(_, worker)| worker.is_open(self.now));
         let (mut workers, mut isolating) = (0, 0);
         for (_, worker) in open {
             workers += 1;
             isolating += usize::from(worker.isolated.is_some());
         }
-        self.task_suspicion.may_isolate(workers, isolating, self.now)
+        self.task_suspicion.may_start_isolated(workers, isolating, self.now)
     }
 }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -197,7 +197,7 @@
         entry.progress_version = version;
         if entry.end.is_none() {
             for (name, crashes, is_isolated) in entry.progress.crashed_tasks(job) {
-                self.task_suspicion.adopt(&name, crashes, is_isolated);
+                self.task_suspicion.restore(&name, crashes, is_isolated);
             }
         }
         let unknown = StepSpec::default();
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -206,7 +206,7 @@
 
     fn start_gang_on(&mut self, names: &[TaskName], spec: &StepSpec, rack: Option<&str>) -> usize {
         let is_isolated = names.iter().any(|name| self.task_suspicion.is_isolated(name));
-        if is_isolated && !self.may_isolate() {
+        if is_isolated && !self.may_start_isolated() {
             return 0;
         }
         let run = names.iter().map(|name| self.last_run(name)).max().unwrap_or(0) + 1;
--- a/src/workflow/task_progress.rs
+++ b/src/workflow/task_progress.rs
@@ -23,7 +23,7 @@
 pub struct TaskCrash {
     /// The life.
     #[serde(rename = "w")]
-    pub life: InstanceId,
+    pub instance: InstanceId,
     /// How old the run was at most, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
--- a/src/workflow/task_suspicion.rs
+++ b/src/workflow/task_suspicion.rs
@@ -47,9 +47,9 @@
     /// Its task.
     pub task: TaskName,
     /// How old it was at most.
-    pub age: Duration,
+    pub max_age: Duration,
     /// How old it was at least.
-    pub lived: Duration,
+    pub min_age: Duration,
     /// Whether it had surely begun.
     pub is_certain: bool,
 }
@@ -62,7 +62,7 @@
     /// A task that has crashed so many workers that it is given up.
     pub given_up: Option<TaskName>,
     /// Tasks against which less is held, since that one has ended some of the lives.
-    pub explained: Vec<TaskName>,
+    pub exonerated: Vec<TaskName>,
 }
 
 /// What is held against one task.
@@ -75,7 +75,7 @@
 impl CrashRecord {
     /// How long a run has to live, so that its task cannot have ended the lives before: what crashes its worker does so at
     /// much the same age each time.
-    fn proof_span(&self) -> Duration {
+    fn clearing_age(&self) -> Duration {
         let least = self.crashes.iter().map(|crash| crash.age_ms).min();
         // An agent that was paused sees a crash late; no run has to prove more than that it is not young.
         let span = |age_ms| Duration::from_millis(age_ms).min(YOUNG_SPAN) * 2 + PROOF_SLACK;
@@ -112,8 +112,8 @@
     ///
     /// let run = |task: &str, millis: u64| CrashedRun {
     ///     task: task.parse().unwrap(),
-    ///     age: Duration::from_millis(millis),
-    ///     lived: Duration::ZERO,
+    ///     max_age: Duration::from_millis(millis),
+    ///     min_age: Duration::ZERO,
     ///     is_certain: true,
     /// };
     /// let mut suspicion = TaskSuspicion::default();
@@ -138,21 +138,21 @@
                 isolated.push(task);
             }
         }
-        CrashVerdict { isolated, given_up, explained }
+        CrashVerdict { isolated, given_up, exonerated: explained }
     }
 
     fn count(&mut self, life: &str, run: &CrashedRun) {
         let record = self.records.entry(run.task.clone()).or_default();
-        if record.crashes.iter().any(|known| known.life == life) {
+        if record.crashes.iter().any(|known| known.instance == life) {
             // A planner before has counted this one.
             return;
         }
-        if run.lived > record.proof_span() {
+        if run.min_age > record.clearing_age() {
             *record = CrashRecord::default();
         }
         record.crashes.push(TaskCrash {
-            life: life.to_string(),
-            age_ms: u64::try_from(run.age.as_millis()).unwrap_or(u64::MAX),
+            instance: life.to_string(),
+            age_ms: u64::try_from(run.max_age.as_millis()).unwrap_or(u64::MAX),
             is_certain: run.is_certain,
         });
     }
@@ -162,8 +162,8 @@
         let count = |run: &CrashedRun| self.crashes(&run.task).len();
         let most = young.iter().map(count).max().unwrap_or(0);
         let worst = || young.iter().filter(|run| count(run) == most);
-        let youngest = worst().map(|run| run.age).min().unwrap_or_default();
-        let found = worst().filter(|run| run.age <= youngest + SAME_AGE);
+        let youngest = worst().map(|run| run.max_age).min().unwrap_or_default();
+        let found = worst().filter(|run| run.max_age <= youngest + SAME_AGE);
         found.map(|run| run.task.clone()).collect()
     }
 
@@ -178,12 +178,12 @@
     /// Whether a crash points to one task: all others were older, or have far fewer crashes.
     fn is_named(&self, suspect: &TaskName, young: &[CrashedRun]) -> bool {
         let own = young.iter().find(|run| run.task == *suspect);
-        let age = own.map(|run| run.age).unwrap_or_default();
+        let age = own.map(|run| run.max_age).unwrap_or_default();
         let crashes = self.crashes(suspect).len();
         let mut others = young.iter().filter(|run| run.task != *suspect);
         others.all(|run| {
             let has_led = self.crashes(&run.task).len() + CLEAR_LEAD <= crashes;
-            run.age > age + SAME_AGE || has_led
+            run.max_age > age + SAME_AGE || has_led
         })
     }
 
@@ -191,7 +191,7 @@
     fn clear_others(&mut self, task: &TaskName) -> Vec<TaskName> {
         let found = self.records.remove(task).unwrap_or_default();
         let is_explained =
-            |crash: &TaskCrash| found.crashes.iter().any(|known| known.life == crash.life);
+            |crash: &TaskCrash| found.crashes.iter().any(|known| known.instance == crash.instance);
         let mut explained = Vec::new();
         for (other, record) in &mut self.records {
             let before = record.crashes.len();
@@ -209,12 +209,12 @@
     /// ```
     /// use greengagearch::workflow::task_progress::TaskCrash;
     ///
-    /// let crash = |life: &str| TaskCrash { life: life.to_string(), age_ms: 10, is_certain: true };
+    /// let crash = |life: &str| TaskCrash { instance: life.to_string(), age_ms: 10, is_certain: true };
     /// let mut suspicion = greengagearch::workflow::task_suspicion::TaskSuspicion::default();
-    /// suspicion.adopt(&"a.0.0.0".parse().unwrap(), vec![crash("i-1"), crash("i-2")], true);
+    /// suspicion.restore(&"a.0.0.0".parse().unwrap(), vec![crash("i-1"), crash("i-2")], true);
     /// assert!(suspicion.is_isolated(&"a.0.0.0".parse().unwrap()));
     /// ```
-    pub fn adopt(&mut self, task: &TaskName, crashes: Vec<TaskCrash>, is_isolated: bool) {
+    pub fn restore(&mut self, task: &TaskName, crashes: Vec<TaskCrash>, is_isolated: bool) {
         self.records.insert(task.clone(), CrashRecord { crashes, is_isolated });
     }
 
@@ -265,10 +265,10 @@
     ///
     /// ```
     /// let suspicion = greengagearch::workflow::task_suspicion::TaskSuspicion::default();
-    /// assert_eq!(suspicion.proof_span(&"a.0.0.0".parse().unwrap()), None);
+    /// assert_eq!(suspicion.clearing_age(&"a.0.0.0".parse().unwrap()), None);
     /// ```
-    pub fn proof_span(&self, task: &TaskName) -> Option<Duration> {
-        self.records.get(task).map(CrashRecord::proof_span)
+    pub fn clearing_age(&self, task: &TaskName) -> Option<Duration> {
+        self.records.get(task).map(CrashRecord::clearing_age)
     }
 
     /// Drops what is held against a task: a run of it has ended by itself or outlived those that crashed. Says whether it was
@@ -298,11 +298,11 @@
     ///
     /// let mut suspicion = greengagearch::workflow::task_suspicion::TaskSuspicion::default();
     /// let now = Instant::now();
-    /// suspicion.on_isolated(now);
-    /// assert!(suspicion.may_isolate(11, 2, now));
-    /// assert!(!suspicion.may_isolate(11, 3, now));
+    /// suspicion.on_isolated_start(now);
+    /// assert!(suspicion.may_start_isolated(11, 2, now));
+    /// assert!(!suspicion.may_start_isolated(11, 3, now));
     /// ```
-    pub fn may_isolate(&self, workers: usize, isolating: usize, now: Instant) -> bool {
+    pub fn may_start_isolated(&self, workers: usize, isolating: usize, now: Instant) -> bool {
         let is_away = |at: &&Instant| now.saturating_duration_since(**at) < AWAY_SPAN;
         let away = self.crashed_at.iter().filter(is_away).count();
         let most = ((workers + away) / SHARE_AWAY).max(1);
@@ -316,9 +316,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::workflow::task_suspicion::TaskSuspicion::default().on_isolated(Instant::now());
+    /// greengagearch::workflow::task_suspicion::TaskSuspicion::default().on_isolated_start(Instant::now());
     /// ```
-    pub fn on_isolated(&mut self, now: Instant) {
+    pub fn on_isolated_start(&mut self, now: Instant) {
         self.isolated_at = Some(now);
     }
 }
