--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -45,8 +45,8 @@
             return None;
         }
         let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
-        let (age, lived) = (YOUNG_SPAN, Duration::ZERO);
-        self.suspect(instance, &[CrashedRun { task, max_age: age, min_age: lived, is_certain }])
+        let (max_age, min_age) = (YOUNG_SPAN, Duration::ZERO);
+        self.suspect(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
 
     fn suspect(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
--- a/src/workflow/reservation.rs
+++ b/src/workflow/reservation.rs
@@ -47,10 +47,10 @@
         self.reservations
             .retain(|reservation| reservation.until > now && reservation.task != *task);
         let best_effort_millicores = if step.best_effort { step.resources.millicores } else { 0 };
-        let (room, until) = (step.reserved_resources(), now + span);
+        let (resources, until) = (step.reserved_resources(), now + span);
         self.reservations.push(Reservation {
             task: task.clone(),
-            resources: room,
+            resources,
             best_effort_millicores,
             until,
         });
@@ -108,11 +108,12 @@
     /// ```
     pub fn available_to(
         &self,
-        room: ResourceVector,
+        resources: ResourceVector,
         task: &TaskName,
         now: Instant,
     ) -> ResourceVector {
-        self.others(task, now).fold(room, |room, reservation| room.minus(&reservation.resources))
+        self.others(task, now)
+            .fold(resources, |resources, reservation| resources.minus(&reservation.resources))
     }
 
     /// Processor time that others are to fill, in thousandths of a core.
--- a/src/workflow/task_suspicion.rs
+++ b/src/workflow/task_suspicion.rs
@@ -130,7 +130,7 @@
         }
         let suspects = self.suspects(young);
         let given_up = self.choose_given_up(&suspects, young);
-        let explained = given_up.as_ref().map(|task| self.clear_others(task)).unwrap_or_default();
+        let exonerated = given_up.as_ref().map(|task| self.clear_others(task)).unwrap_or_default();
         let mut isolated = Vec::new();
         for task in suspects {
             let record = self.records.get_mut(&task);
@@ -138,7 +138,7 @@
                 isolated.push(task);
             }
         }
-        CrashVerdict { isolated, given_up, exonerated: explained }
+        CrashVerdict { isolated, given_up, exonerated }
     }
 
     fn count(&mut self, life: &str, run: &CrashedRun) {
@@ -190,18 +190,18 @@
     /// What a task that is given up has ended is no longer held against those beside it; gives them.
     fn clear_others(&mut self, task: &TaskName) -> Vec<TaskName> {
         let found = self.records.remove(task).unwrap_or_default();
-        let is_explained =
+        let is_exonerated =
             |crash: &TaskCrash| found.crashes.iter().any(|known| known.instance == crash.instance);
-        let mut explained = Vec::new();
+        let mut exonerated = Vec::new();
         for (other, record) in &mut self.records {
             let before = record.crashes.len();
-            record.crashes.retain(|crash| !is_explained(crash));
+            record.crashes.retain(|crash| !is_exonerated(crash));
             if record.crashes.len() < before {
-                explained.push(other.clone());
+                exonerated.push(other.clone());
             }
         }
         self.records.retain(|_, record| !record.crashes.is_empty());
-        explained
+        exonerated
     }
 
     /// Takes in what a planner before has stored of a task.
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -145,10 +145,10 @@
             worker
                 .ended_best_effort
                 .retain(|ended| now.saturating_duration_since(ended.ended_at) < ENDED_KEPT);
-            worker.ended_best_effort.extend(run.first_reported_at.map(|begin| {
+            worker.ended_best_effort.extend(run.first_reported_at.map(|started_at| {
                 EndedBestEffortRun {
                     image: run.image.clone(),
-                    started_at: begin,
+                    started_at,
                     ended_at: now,
                     pace_percent: run.last_report.as_ref().map_or(0, |seen| seen.pace_percent),
                 }
--- a/standins/src/local_platform.rs
+++ b/standins/src/local_platform.rs
@@ -110,10 +110,10 @@
 
 /// A job of two steps: three tasks, and one after them.
 pub fn example_job(id: &str) -> JobRequest {
-    let room = ResourceVector { millicores: 300, memory_mib: 100, accelerators: 0 };
+    let resources = ResourceVector { millicores: 300, memory_mib: 100, accelerators: 0 };
     let step = |count: u32, after: Vec<usize>| StepSpec {
         count,
-        resources: room,
+        resources,
         estimate_ms: 100,
         after,
         ..StepSpec::default()
--- a/tests/batch_order.rs
+++ b/tests/batch_order.rs
@@ -23,8 +23,8 @@
 
 /// Tasks so small that all find room at once.
 fn small(count: u32) -> StepSpec {
-    let room = ResourceVector { millicores: 10, memory_mib: 10, accelerators: 0 };
-    StepSpec { resources: room, ..step(count, 10) }
+    let resources = ResourceVector { millicores: 10, memory_mib: 10, accelerators: 0 };
+    StepSpec { resources, ..step(count, 10) }
 }
 
 /// A job whose steps follow each other, so that it changes again as soon as a task has ended.
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -14,9 +14,9 @@
 const TARGET_MS: u64 = 50;
 const IDLE_TAIL_MS: f64 = 10.0;
 
-fn pair(serving: &str, filling: &str, added_load: f64) -> PairInterference {
-    let (serving, filling) = (serving.to_string(), filling.to_string());
-    PairInterference { serving, best_effort: filling, added_load, variance: 0.000_1 }
+fn pair(serving: &str, best_effort: &str, added_load: f64) -> PairInterference {
+    let (serving, best_effort) = (serving.to_string(), best_effort.to_string());
+    PairInterference { serving, best_effort, added_load, variance: 0.000_1 }
 }
 
 fn learned(pairs: Vec<PairInterference>) -> LearnedInterference {
--- a/tests/job_forecast.rs
+++ b/tests/job_forecast.rs
@@ -22,10 +22,10 @@
 
 /// Tasks that fill, one a worker at a time by their memory.
 fn wide(count: u32, estimate_ms: u64) -> StepSpec {
-    let room = ResourceVector { millicores: 100, memory_mib: 3_000, accelerators: 0 };
+    let resources = ResourceVector { millicores: 100, memory_mib: 3_000, accelerators: 0 };
     StepSpec {
         count,
-        resources: room,
+        resources,
         estimate_ms,
         best_effort: true,
         checkpoints: true,
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -35,13 +35,13 @@
 }
 
 /// Traits of a task that neither serves nor fills.
-pub fn plain_traits(task: &str, room: ResourceVector) -> TaskTraits {
+pub fn plain_traits(task: &str, resources: ResourceVector) -> TaskTraits {
     TaskTraits {
         task: task.parse().unwrap(),
         image: String::new(),
         target_ms: 0,
         best_effort: false,
-        resources: room,
+        resources,
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -32,12 +32,12 @@
 /// More tasks that fill than any worker takes in beside what serves.
 fn bulk(count: u32) -> WorkflowSpec {
     let image = "filling".to_string();
-    let room = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
+    let resources = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
     job(vec![StepSpec {
         best_effort: true,
         checkpoints: true,
         image,
-        resources: room,
+        resources,
         ..step(count, 1_000)
     }])
 }
@@ -130,10 +130,9 @@
     let now = Instant::now();
     let (mine, other) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
     let mut reservations = Reservations::default();
-    let room = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
+    let resources = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
     let free = ResourceVector { millicores: 4_000, memory_mib: 400, accelerators: 0 };
-    let (step, span) =
-        (StepSpec { resources: room, ..StepSpec::default() }, Duration::from_secs(1));
+    let (step, span) = (StepSpec { resources, ..StepSpec::default() }, Duration::from_secs(1));
     reservations.reserve(&mine, &step, now, span);
     assert_eq!(reservations.available_to(free, &mine, now), free);
     assert_eq!(reservations.available_to(free, &other, now).millicores, 1_000);
--- a/tests/planner_needs.rs
+++ b/tests/planner_needs.rs
@@ -14,8 +14,8 @@
 }
 
 fn sized(memory_mib: u64) -> StepSpec {
-    let room = ResourceVector { millicores: 100, memory_mib, accelerators: 0 };
-    StepSpec { resources: room, ..step(1, 100) }
+    let resources = ResourceVector { millicores: 100, memory_mib, accelerators: 0 };
+    StepSpec { resources, ..step(1, 100) }
 }
 
 #[test]
--- a/tests/planner_preemption.rs
+++ b/tests/planner_preemption.rs
@@ -14,8 +14,8 @@
 
 /// A step whose tasks take half the memory of a worker.
 fn half(count: u32) -> StepSpec {
-    let room = ResourceVector { millicores: 100, memory_mib: 2_000, accelerators: 0 };
-    StepSpec { count, resources: room, ..step(count, 100) }
+    let resources = ResourceVector { millicores: 100, memory_mib: 2_000, accelerators: 0 };
+    StepSpec { count, resources, ..step(count, 100) }
 }
 
 fn with_priority(priority: u32, steps: Vec<StepSpec>) -> WorkflowSpec {
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -311,8 +311,8 @@
 }
 
 pub fn step(count: u32, millicores: u64) -> StepSpec {
-    let room = ResourceVector { millicores, memory_mib: 100, accelerators: 0 };
-    StepSpec { count, resources: room, estimate_ms: 500, ..StepSpec::default() }
+    let resources = ResourceVector { millicores, memory_mib: 100, accelerators: 0 };
+    StepSpec { count, resources, estimate_ms: 500, ..StepSpec::default() }
 }
 
 pub fn job(steps: Vec<StepSpec>) -> WorkflowSpec {
--- a/tests/planning_search.rs
+++ b/tests/planning_search.rs
@@ -35,8 +35,8 @@
         advice: None,
     };
     let step = |count: u32, after: Vec<usize>| {
-        let room = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
-        StepSpec { count, resources: room, estimate_ms: 500, after, ..StepSpec::default() }
+        let resources = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
+        StepSpec { count, resources, estimate_ms: 500, after, ..StepSpec::default() }
     };
     let spec = |steps: Vec<StepSpec>| WorkflowSpec {
         policy: policy.clone(),
