--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -18,7 +18,7 @@
 use crate::workflow::progress::RunEnd;
 use crate::workflow::spec::RoomAmount;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Age up to which a run is young. A program that crashes its worker as it starts does so well within this time.
 pub const YOUNG_SPAN: Duration = Duration::from_millis(1_000);
--- a/src/process/node/begun_runs.rs
+++ b/src/process/node/begun_runs.rs
@@ -6,7 +6,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::YOUNG_SPAN;
 use crate::connection::node_protocol::YoungRun;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Young runs that are told of one crash at most, so that a report stays small.
 const MOST_TOLD: usize = 24;
--- a/src/process/node/order_book.rs
+++ b/src/process/node/order_book.rs
@@ -13,7 +13,7 @@
 use crate::process::node::pending_start::PendingStart;
 use crate::process::node::pending_start::StartConditions;
 use crate::process::node::pending_start::StartStep;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// An order to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/process/node/order_tries.rs
+++ b/src/process/node/order_tries.rs
@@ -6,7 +6,7 @@
 use crate::ids::PlannerEpoch;
 use crate::process::logging::log_event;
 use crate::process::metrics::ProcessMetrics;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// The first tries of an order are all logged; after them each power of two.
 const FIRST_TRIES: u32 = 3;
--- a/src/process/node/orders.rs
+++ b/src/process/node/orders.rs
@@ -15,7 +15,7 @@
 use crate::process::node::order_tries::TriedOrder;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::shared::NodeShared;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Pause before a stop that the runner has not taken is sent again; it doubles up to the longest.
 const STOP_PAUSE: Duration = Duration::from_millis(30);
--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -11,7 +11,7 @@
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::state::NodeState;
 use crate::workflow::spec::RoomAmount;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 impl NodeState {
     /// Takes an order to start a run. Says whether it is new.
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -31,7 +31,7 @@
 use crate::process::node::unsettled_starts::UnsettledStarts;
 use crate::workflow::pacing::PaceControl;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Age of the last answer from which on the next look first asks which life answers.
 const PROOF_SPAN: Duration = Duration::from_millis(1_000);
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use crate::ids::LookNumber;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time for which a start that has no answer may still be carried out.
 const LATE_SPAN: Duration = Duration::from_secs(12);
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -67,13 +67,13 @@
     ///
     /// use greengagearch::connection::node_protocol::PresentRun;
     /// use greengagearch::workflow::spec::StepSpec;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let now = Instant::now();
-    /// let mut board = WorkerBoard::default();
+    /// let mut inventory = WorkerInventory::default();
     /// let key: (greengagearch::workflow::task_name::TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
-    /// board.assign("i-1", key.clone(), &StepSpec::default(), now, now);
-    /// let run = board.get_mut("i-1").unwrap().assigned.get_mut(&key).unwrap();
+    /// inventory.assign("i-1", key.clone(), &StepSpec::default(), now, now);
+    /// let run = inventory.get_mut("i-1").unwrap().assigned.get_mut(&key).unwrap();
     /// let seen = PresentRun { pace_percent: 10, ..PresentRun::ordered(key.0, 1) };
     /// assert!(run.on_seen(seen, now));
     /// ```
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -34,5 +34,5 @@
 pub mod task_progress;
 pub mod task_suspicion;
 mod urgency;
-pub mod worker_board;
 pub mod worker_entry;
+pub mod worker_inventory;
--- a/src/workflow/over_target.rs
+++ b/src/workflow/over_target.rs
@@ -11,7 +11,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time over its target after which a task counts by itself: three measured spans, and well within the seconds that callers bear.
 const LONG_OVER: Duration = Duration::from_millis(1_500);
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -19,7 +19,7 @@
 use crate::workflow::over_target::OverTarget;
 use crate::workflow::run_pace::RunPace;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Kept between the load that is aimed at and the load at the target: what a load swings by within a look and
 /// the measured span, and two standard deviations of a measured tail.
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -9,8 +9,8 @@
 use crate::workflow::disturbance::DisturbanceModel;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::WorkerBoard;
 use crate::workflow::worker_entry::WorkerEntry;
+use crate::workflow::worker_inventory::WorkerInventory;
 
 /// Least share of the processor time it asks for that a task that fills must find free, so that it is
 /// placed: below, it would hold memory and delay its neighbours' fills more than it gains.
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementView<'a> {
     /// The workers.
-    pub board: &'a WorkerBoard,
+    pub inventory: &'a WorkerInventory,
     /// Workers that fail what they start.
     pub suspicion: &'a WorkerSuspicion,
     /// What images do to each other.
@@ -107,7 +107,7 @@
 /// use greengagearch::workflow::placement::RiskLimit;
 /// use greengagearch::workflow::placement::choose;
 /// use greengagearch::workflow::spec::StepSpec;
-/// use greengagearch::workflow::worker_board::WorkerBoard;
+/// use greengagearch::workflow::worker_inventory::WorkerInventory;
 ///
 /// let task = "a.0.0.0".parse().unwrap();
 /// let step = StepSpec::default();
@@ -123,11 +123,11 @@
 ///     is_isolated: false,
 ///     not_on: None,
 /// };
-/// let (board, suspicion) = (WorkerBoard::default(), WorkerSuspicion::default());
+/// let (inventory, suspicion) = (WorkerInventory::default(), WorkerSuspicion::default());
 /// let disturbance = DisturbanceModel::default();
 /// let advice = AdviceBook::default();
 /// let view = PlacementView {
-///     board: &board,
+///     inventory: &inventory,
 ///     suspicion: &suspicion,
 ///     disturbance: &disturbance,
 ///     advice: &advice,
@@ -138,7 +138,7 @@
 /// ```
 pub fn choose(need: &PlacementNeed<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
     let mut best: Option<(f64, &InstanceId)> = None;
-    for (instance, worker) in view.board.iter() {
+    for (instance, worker) in view.inventory.iter() {
         let room = worker.room_for(need.task, view.now);
         let has_room = room.contains(&need.step.counted_room());
         if !has_room || !fits_but_for_room(need, view, instance, worker) {
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -27,8 +27,8 @@
 use crate::workflow::progress::RunEnd;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_suspicion::TaskSuspicion;
-use crate::workflow::worker_board::RunKey;
-use crate::workflow::worker_board::WorkerBoard;
+use crate::workflow::worker_inventory::RunKey;
+use crate::workflow::worker_inventory::WorkerInventory;
 
 /// An order and the life of the runner that it is for.
 pub type AddressedOrder = (InstanceId, NodeOrder);
@@ -43,7 +43,7 @@
     pub(crate) last_order: u64,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
     pub(crate) ended: BTreeMap<JobId, EndedJob>,
-    pub(crate) board: WorkerBoard,
+    pub(crate) inventory: WorkerInventory,
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
     pub(crate) disturbance: DisturbanceModel,
@@ -76,7 +76,7 @@
             last_order: 0,
             jobs: BTreeMap::new(),
             ended: BTreeMap::new(),
-            board: WorkerBoard::default(),
+            inventory: WorkerInventory::default(),
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
             disturbance: DisturbanceModel::default(),
@@ -115,7 +115,7 @@
     /// planner.on_grant("i-1", Instant::now());
     /// ```
     pub fn on_grant(&mut self, instance: &str, surely_expired: Instant) {
-        let worker = self.board.entry(instance, self.inherited_end);
+        let worker = self.inventory.entry(instance, self.inherited_end);
         worker.lease_end = worker.lease_end.max(surely_expired);
     }
 
@@ -129,7 +129,7 @@
     /// ```
     pub fn on_tick(&mut self) {
         let (now, wall_ms) = (self.now, self.wall_ms);
-        for instance in self.board.expired(now) {
+        for instance in self.inventory.expired(now) {
             self.lose(&instance);
         }
         self.move_held_up();
@@ -221,7 +221,7 @@
     /// assert_eq!(planner.number_order("i-1", &[]), None);
     /// ```
     pub fn number_order(&mut self, instance: &str, orders: &[NodeOrder]) -> Option<u64> {
-        let worker = self.board.get_mut(instance)?;
+        let worker = self.inventory.get_mut(instance)?;
         // Numbers rise over all workers: an agent counts them over the lives of its runner.
         self.last_order += 1;
         let number = self.last_order;
@@ -238,7 +238,7 @@
 
     /// Takes a run off its worker and its job.
     pub(crate) fn end_run(&mut self, instance: &str, key: &RunKey, end: RunEnd, checkpoint: &str) {
-        let released = self.board.release(instance, key, self.now);
+        let released = self.inventory.release(instance, key, self.now);
         if let Some(run) = &released {
             let ran = self.now.saturating_duration_since(run.since);
             self.decisions.push(PlanDecision::RunEnded {
@@ -273,7 +273,7 @@
 
     /// Orders a run to stop; a run whose start has not left yet is just taken back.
     pub(crate) fn stop_run(&mut self, instance: &str, key: RunKey) {
-        let Some(worker) = self.board.get_mut(instance) else {
+        let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let Some(run) = worker.assigned.get_mut(&key) else {
@@ -285,7 +285,7 @@
             }
             return;
         }
-        self.board.release(instance, &key, self.now);
+        self.inventory.release(instance, &key, self.now);
         if let Some(entry) = self.jobs.get_mut(&key.0.job)
             && let Some(task) = entry.progress.task_mut(&key.0)
         {
@@ -329,7 +329,7 @@
     /// The same but for runs that the next life of the runner may have begun, or may yet: those keep their place until that life has
     /// shown what it runs, or the leases have expired.
     pub(crate) fn lose_settled(&mut self, instance: &str, unsettled: &[RunKey]) {
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let keys = worker.assigned.keys().cloned();
@@ -344,8 +344,8 @@
             self.end_run(instance, &key, RunEnd::Lost, "");
         }
         if kept.is_empty() {
-            self.board.forget(instance);
-        } else if let Some(worker) = self.board.get_mut(instance) {
+            self.inventory.forget(instance);
+        } else if let Some(worker) = self.inventory.get_mut(instance) {
             worker.is_over = true;
             worker.status = None;
             worker.heard = None;
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -12,7 +12,7 @@
 use crate::workflow::progress::JobProgress;
 use crate::workflow::progress::JobRecord;
 use crate::workflow::progress::spec_digest;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Most rows that change in one batch: each is a condition and a change, and the owner's row, the pulse and what was learned come
 /// to them, within the store's limit of 100 entries a transaction.
@@ -152,7 +152,7 @@
 
     fn release_start(&mut self, instance: InstanceId, key: &RunKey) {
         let is_wanted = self
-            .board
+            .inventory
             .get(&instance)
             .and_then(|worker| worker.assigned.get(key))
             .is_some_and(|run| run.order.is_none());
@@ -161,7 +161,7 @@
         }
         if let Some(order) = self.start_order(&instance, key) {
             // Until it has its number the order counts as sent, so that it is stopped, not taken back.
-            if let Some(worker) = self.board.get_mut(&instance)
+            if let Some(worker) = self.inventory.get_mut(&instance)
                 && let Some(run) = worker.assigned.get_mut(key)
             {
                 run.order = Some(u64::MAX);
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -10,7 +10,7 @@
 use crate::workflow::progress::JobEnd;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_suspicion::CrashedRun;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Tasks of a job whose crashes are kept in its row at most, so that the row stays within the store's limit.
 const KEPT_TASKS: usize = 64;
@@ -19,7 +19,7 @@
     /// Takes in that a life has broken off; later reports tell of it again. Its runs are given up afterwards. Gives a task that
     /// is to be given up with its job.
     pub(crate) fn on_crash(&mut self, crash: &RunnerCrash) -> Option<TaskName> {
-        let worker = self.board.get(&crash.instance).filter(|worker| !worker.is_over)?;
+        let worker = self.inventory.get(&crash.instance).filter(|worker| !worker.is_over)?;
         let is_ours = |task: &TaskName, run| worker.assigned.contains_key(&(task.clone(), run));
         let ours = crash.young.iter().filter(|young| is_ours(&young.task, young.run));
         let young = ours.map(|run| CrashedRun {
@@ -37,7 +37,7 @@
     /// Holds a loss that no agent explains against the isolated task on the worker: an agent that ends with its runner cannot
     /// tell what had begun there.
     pub(crate) fn on_unexplained_loss(&mut self, instance: &str) -> Option<TaskName> {
-        let worker = self.board.get(instance).filter(|worker| !worker.is_over)?;
+        let worker = self.inventory.get(instance).filter(|worker| !worker.is_over)?;
         let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
         let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
         let is_told = self.task_suspicion.crashes(&task).iter().any(|one| one.life == instance);
@@ -93,7 +93,7 @@
         if self.task_suspicion.is_empty() {
             return;
         }
-        let Some(worker) = self.board.get_mut(instance) else {
+        let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let mut cleared = Vec::new();
@@ -163,14 +163,14 @@
     /// Keeps other starts away from a worker that is given a suspect.
     pub(crate) fn isolate(&mut self, worker: &str, key: &RunKey) {
         self.task_suspicion.on_isolated(self.now);
-        if let Some(worker) = self.board.get_mut(worker) {
+        if let Some(worker) = self.inventory.get_mut(worker) {
             worker.isolated.get_or_insert_with(|| key.clone());
         }
     }
 
     /// Whether one more isolated task may start now.
     pub(crate) fn may_isolate(&self) -> bool {
-        let open = self.board.iter().filter(|(_, worker)| worker.is_open(self.now));
+        let open = self.inventory.iter().filter(|(_, worker)| worker.is_open(self.now));
         let (mut workers, mut isolating) = (0, 0);
         for (_, worker) in open {
             workers += 1;
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_gathering.rs
@@ -22,7 +22,7 @@
 use crate::workflow::serving_layout::serving_runs;
 use crate::workflow::spec::RoomAmount;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time between two looks at the layout: a move takes longer than that.
 const LOOK_PAUSE: Duration = Duration::from_millis(200);
@@ -84,7 +84,7 @@
         if self.unmet_fills() < LEAST_DEMAND {
             return;
         }
-        let layout = ServingLayout::of(&self.board, self.now);
+        let layout = ServingLayout::of(&self.inventory, self.now);
         if let Some(worker) = self.worker_to_empty(&layout) {
             self.gathering.emptied = Some((worker, self.now + EMPTIED_WITHIN));
         } else if let Some(best) = self.best_move(&layout) {
@@ -96,12 +96,12 @@
     fn unmet_fills(&self) -> usize {
         let unmet: usize =
             self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.fills)).sum();
-        let runs = self.board.iter().flat_map(|(_, worker)| worker.assigned.values());
+        let runs = self.inventory.iter().flat_map(|(_, worker)| worker.assigned.values());
         unmet + runs.filter(|run| run.slow_since.is_some()).count()
     }
 
     fn serving_keys(&self, instance: &str) -> Vec<RunKey> {
-        let worker = self.board.get(instance);
+        let worker = self.inventory.get(instance);
         worker.into_iter().flat_map(serving_runs).map(|(key, _)| key.clone()).collect()
     }
 
@@ -127,7 +127,7 @@
             .filter(|(other, worker)| other.as_str() != instance && worker.serving() > 0);
         let mut rooms: BTreeMap<&InstanceId, RoomAmount> =
             others.map(|(other, worker)| (other, worker.lasting_room)).collect();
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return false;
         };
         let view = self.placement_view();
@@ -138,7 +138,7 @@
             };
             let fitting = rooms.iter_mut().filter(|(other, room)| {
                 let fits = |entry| fits_but_for_room(&need, &view, other, entry);
-                room.contains(&run.counted) && self.board.get(other).is_some_and(fits)
+                room.contains(&run.counted) && self.inventory.get(other).is_some_and(fits)
             });
             let Some((_, room)) = fitting.min_by_key(|(_, room)| room.millicores) else {
                 return false;
@@ -165,7 +165,7 @@
         let need = self.move_need(name, from)?;
         let view = self.placement_view();
         let wanted = need.step.counted_room();
-        let fitting = self.board.iter().filter(|(instance, worker)| {
+        let fitting = self.inventory.iter().filter(|(instance, worker)| {
             worker.is_serving()
                 && worker.room_for(name, self.now).contains(&wanted)
                 && fits_but_for_room(&need, &view, instance, worker)
@@ -178,7 +178,7 @@
     fn best_move(&self, layout: &ServingLayout) -> Option<ServingMove> {
         let mut single: Vec<(f64, &InstanceId, &RunKey, &AssignedRun)> = Vec::new();
         for (from, worker) in &layout.workers {
-            for (key, run) in self.board.get(from).into_iter().flat_map(serving_runs) {
+            for (key, run) in self.inventory.get(from).into_iter().flat_map(serving_runs) {
                 let gained = worker.gained_without(&key.0.job);
                 if gained >= LEAST_GAIN && self.is_settled(run) {
                     single.push((gained, from, key, run));
@@ -211,7 +211,7 @@
             if best.is_some_and(|(least, _)| lost >= least) {
                 continue;
             }
-            let Some(entry) = self.board.get(to) else {
+            let Some(entry) = self.inventory.get(to) else {
                 continue;
             };
             let has_room = entry.room_for(&key.0, self.now).contains(&run.counted);
@@ -240,7 +240,7 @@
                 return false;
             };
             let key = (TaskName { index, ..name.clone() }, attempt.run);
-            let worker = self.board.get(&attempt.worker);
+            let worker = self.inventory.get(&attempt.worker);
             let seen =
                 worker.and_then(|worker| worker.assigned.get(&key)).filter(|run| !run.stopping);
             let seen = seen.and_then(|run| run.seen.as_ref());
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -204,8 +204,8 @@
         for (name, attempt) in entry.progress.attempts(job) {
             let step = entry.step(&name).unwrap_or(&unknown);
             let key = (name, attempt.run);
-            self.board.assign(&attempt.worker, key.clone(), step, self.now, self.inherited_end);
-            if let Some(worker) = self.board.get_mut(&attempt.worker)
+            self.inventory.assign(&attempt.worker, key.clone(), step, self.now, self.inherited_end);
+            if let Some(worker) = self.inventory.get_mut(&attempt.worker)
                 && let Some(run) = worker.assigned.get_mut(&key)
             {
                 // The planner before may have sent the order; the first look will tell.
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -75,7 +75,7 @@
         let open = self.jobs.values().filter(|entry| entry.end.is_none());
         load.fill_jobs = open.filter(|entry| entry.fills()).count();
         load.late_fill_jobs = late.len();
-        for (_, worker) in self.board.iter() {
+        for (_, worker) in self.inventory.iter() {
             load.held_back_workers += usize::from(worker.holds_fills_back());
             load.workers += usize::from(worker.is_open(self.now));
             load.serving_workers += usize::from(worker.is_serving());
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -11,7 +11,7 @@
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time at a slow pace after which a task is moved: longer than a short burst of load takes.
 const HELD_UP_FOR: Duration = Duration::from_millis(1_000);
@@ -54,7 +54,7 @@
     /// Stops a run whose task is to go on elsewhere, and keeps its new place.
     pub(crate) fn move_run(&mut self, from: &str, key: RunKey, to: &str, why: MoveReason) {
         let step = self.jobs.get(&key.0.job).and_then(|entry| entry.step(&key.0)).cloned();
-        if let (Some(step), Some(worker)) = (step, self.board.get_mut(to)) {
+        if let (Some(step), Some(worker)) = (step, self.inventory.get_mut(to)) {
             worker.holds.keep(&key.0, &step, self.now, HOLD_SPAN);
         }
         self.decisions.push(PlanDecision::Moved {
@@ -69,7 +69,7 @@
 
     fn leaving_runs(&self) -> Vec<(InstanceId, RunKey)> {
         let mut found = Vec::new();
-        for (instance, worker) in self.board.iter() {
+        for (instance, worker) in self.inventory.iter() {
             if !worker.status.as_ref().is_some_and(|status| status.draining) {
                 continue;
             }
@@ -86,7 +86,7 @@
 
     fn held_up(&self) -> Vec<(InstanceId, RunKey)> {
         let mut found = Vec::new();
-        for (instance, worker) in self.board.iter() {
+        for (instance, worker) in self.inventory.iter() {
             for (key, run) in &worker.assigned {
                 let held_for =
                     run.slow_since.map(|since| self.now.saturating_duration_since(since));
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -9,8 +9,8 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
 use crate::workflow::worker_entry::WorkerEntry;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time without a run of its job after which a task may displace others, in milliseconds: room that is about to
 /// become free anyhow is taken first.
@@ -60,7 +60,7 @@
         let need = self.need(name, spec, None, None)?;
         let view = self.placement_view();
         let fitting = self
-            .board
+            .inventory
             .iter()
             .filter(|(instance, one)| fits_but_for_room(&need, &view, instance, one));
         let each =
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -24,8 +24,8 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::progress::RunEnd;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
 use crate::workflow::worker_entry::WorkerEntry;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Least time between two messages that tell an agent what was learned of its runs.
 const DESCRIBE_PERIOD: Duration = Duration::from_millis(500);
@@ -119,7 +119,7 @@
     }
 
     fn hear(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
-        let worker = self.board.entry(&status.instance, self.inherited_end);
+        let worker = self.inventory.entry(&status.instance, self.inherited_end);
         if has_former && worker.status.is_none() {
             // Calls for a former life may have given the new one a lease that nobody knows of.
             worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
@@ -143,7 +143,7 @@
 
     /// Runs that were given to a life and that a look shows.
     fn runs_shown(&self, life: &str, look: &RunnerLook) -> Vec<RunKey> {
-        let runs = self.board.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
+        let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
         runs.filter(|key| look.shows(key)).cloned().collect()
     }
 
@@ -154,7 +154,7 @@
             from: former.to_string(),
             worker: instance.to_string(),
         });
-        let was_stopping = self.board.hand_over(former, instance, key);
+        let was_stopping = self.inventory.hand_over(former, instance, key);
         self.keep_place(key, instance);
         if was_stopping {
             self.stop_run(instance, key.clone());
@@ -184,7 +184,7 @@
         let present = look.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
         let present: BTreeMap<RunKey, PresentRun> = present.collect();
         self.stop_strangers(instance, &present);
-        let Some(worker) = self.board.get_mut(instance) else {
+        let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let resync = std::mem::take(&mut worker.resync);
@@ -271,7 +271,7 @@
             return;
         }
         match rejected.reason {
-            RejectReason::Room => self.board.on_full(instance, self.now),
+            RejectReason::Room => self.inventory.on_full(instance, self.now),
             RejectReason::Unwell | RejectReason::Malformed => {
                 self.on_failure(instance, &rejected.task);
             }
@@ -286,7 +286,7 @@
 
     /// Stops runs that the worker has and the planner does not know there.
     pub(crate) fn stop_strangers<V>(&mut self, instance: &str, present: &BTreeMap<RunKey, V>) {
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let strangers = present.keys().filter(|key| !worker.assigned.contains_key(key));
@@ -319,7 +319,7 @@
 
     /// Tells an agent what it has to know of the runs that it has.
     pub(crate) fn describe_all(&mut self, instance: &str) {
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
@@ -339,7 +339,7 @@
 
     /// Tells an agent what has been learned of its runs since it was told.
     fn describe_changed(&mut self, instance: &str) {
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let is_recent = |at: Instant| self.now.saturating_duration_since(at) < DESCRIBE_PERIOD;
@@ -354,7 +354,7 @@
                 changed.push((key.clone(), traits));
             }
         }
-        if let Some(worker) = self.board.get_mut(instance) {
+        if let Some(worker) = self.inventory.get_mut(instance) {
             worker.described = Some(self.now);
         }
         self.describe(instance, changed);
@@ -362,7 +362,7 @@
 
     /// Tells an agent of runs, and remembers what it was told.
     fn describe(&mut self, instance: &str, runs: Vec<(RunKey, TaskTraits)>) {
-        let Some(worker) = self.board.get_mut(instance) else {
+        let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         for (key, traits) in runs {
@@ -375,7 +375,7 @@
 
     /// Stops runs of ended jobs, which a planner before may not have done.
     fn stop_unwanted(&mut self, instance: &str) {
-        let Some(worker) = self.board.get(instance) else {
+        let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let is_over = |key: &&RunKey| {
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -54,7 +54,7 @@
             open.map(|(job, entry)| (JobUrgency::of(entry, self.wall_ms), job)).collect();
         order.sort();
         let jobs: Vec<JobId> = order.into_iter().map(|(_, job)| job.clone()).collect();
-        let kept = self.board.kept_tasks(self.now);
+        let kept = self.inventory.kept_tasks(self.now);
         let mut hopeless = HopelessNeeds::default();
         let isolated = self.start_isolated();
         let others = jobs.iter().map(|job| self.plan_job(job, &kept, &mut hopeless));
@@ -110,7 +110,7 @@
                 worker.status.as_ref().is_some_and(|status| status.service == policy.service);
             is_served && worker.is_open(self.now)
         };
-        let open = self.board.iter().filter(|(_, worker)| is_fit(worker));
+        let open = self.inventory.iter().filter(|(_, worker)| is_fit(worker));
         let workers = open.map(|(instance, _)| instance.clone()).collect();
         self.questions.extend(self.advice.ask(step, workers, self.now));
     }
@@ -189,7 +189,7 @@
     /// one has room.
     fn start_gang(&mut self, names: &[TaskName], spec: &StepSpec) -> usize {
         let racks: BTreeSet<String> = if spec.colocated {
-            let known = self.board.iter().filter_map(|(_, worker)| worker.status.as_ref());
+            let known = self.inventory.iter().filter_map(|(_, worker)| worker.status.as_ref());
             known.map(|status| status.rack().to_string()).collect()
         } else {
             BTreeSet::new()
@@ -213,16 +213,16 @@
         for name in names {
             let Some(worker) = self.choose_worker(name, spec, rack, None) else {
                 for (worker, name) in given {
-                    self.board.release(&worker, &(name.clone(), run), self.now);
+                    self.inventory.release(&worker, &(name.clone(), run), self.now);
                 }
                 return 0;
             };
             // Held while the others are placed, so that they see the room that is left.
-            self.board.assign(&worker, (name.clone(), run), spec, self.now, self.inherited_end);
+            self.inventory.assign(&worker, (name.clone(), run), spec, self.now, self.inherited_end);
             given.push((worker, name));
         }
         for (worker, name) in given {
-            self.board.release(&worker, &(name.clone(), run), self.now);
+            self.inventory.release(&worker, &(name.clone(), run), self.now);
             self.assign(name, run, worker, spec);
         }
         names.len()
@@ -260,7 +260,7 @@
             };
             let name = TaskName { job: job.to_string(), occurrence, step, index };
             let run = self
-                .board
+                .inventory
                 .get(&attempt.worker)
                 .and_then(|worker| worker.assigned.get(&(name.clone(), attempt.run)));
             let age = run.map(|run| self.now.saturating_duration_since(run.since));
@@ -326,7 +326,7 @@
     /// What workers are chosen by.
     pub(crate) fn placement_view(&self) -> PlacementView<'_> {
         PlacementView {
-            board: &self.board,
+            inventory: &self.inventory,
             suspicion: &self.suspicion,
             disturbance: &self.disturbance,
             advice: &self.advice,
@@ -374,7 +374,7 @@
             failures: task.failures,
         });
         task.attempts.push(RunAttempt { run, worker: worker.clone() });
-        self.board.assign(&worker, key.clone(), spec, self.now, self.inherited_end);
+        self.inventory.assign(&worker, key.clone(), spec, self.now, self.inherited_end);
         if self.task_suspicion.is_isolated(name) {
             self.isolate(&worker, &key);
         }
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -6,9 +6,9 @@
 use crate::ids::InstanceId;
 use crate::workflow::assigned_run::AssignedRun;
 use crate::workflow::spec::RoomAmount;
-use crate::workflow::worker_board::RunKey;
-use crate::workflow::worker_board::WorkerBoard;
 use crate::workflow::worker_entry::WorkerEntry;
+use crate::workflow::worker_inventory::RunKey;
+use crate::workflow::worker_inventory::WorkerInventory;
 
 /// Fills that work at full pace beside so many jobs that serve: ten by a worker's processors where nothing serves;
 /// else the load of each job swings by itself, and the one nearest to its target binds. Counted on workers of 32
@@ -39,9 +39,9 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::serving_layout::ServingLayout;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// let layout = ServingLayout::of(&WorkerBoard::default(), Instant::now());
+    /// let layout = ServingLayout::of(&WorkerInventory::default(), Instant::now());
     /// assert!(layout.workers.values().all(|worker| worker.serving() == 0));
     /// ```
     pub fn serving(&self) -> usize {
@@ -54,9 +54,9 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::serving_layout::ServingLayout;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// let layout = ServingLayout::of(&WorkerBoard::default(), Instant::now());
+    /// let layout = ServingLayout::of(&WorkerInventory::default(), Instant::now());
     /// assert!(layout.workers.values().all(|worker| worker.gained_without("a") == 0.0));
     /// ```
     pub fn gained_without(&self, job: &str) -> f64 {
@@ -72,9 +72,9 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::serving_layout::ServingLayout;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// let layout = ServingLayout::of(&WorkerBoard::default(), Instant::now());
+    /// let layout = ServingLayout::of(&WorkerInventory::default(), Instant::now());
     /// assert!(layout.workers.values().all(|worker| worker.lost_with("a") == 0.0));
     /// ```
     pub fn lost_with(&self, job: &str) -> f64 {
@@ -99,12 +99,12 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::serving_layout::ServingLayout;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// assert!(ServingLayout::of(&WorkerBoard::default(), Instant::now()).workers.is_empty());
+    /// assert!(ServingLayout::of(&WorkerInventory::default(), Instant::now()).workers.is_empty());
     /// ```
-    pub fn of(board: &WorkerBoard, now: Instant) -> ServingLayout {
-        let open = board.iter().filter(|(_, worker)| worker.is_open(now));
+    pub fn of(inventory: &WorkerInventory, now: Instant) -> ServingLayout {
+        let open = inventory.iter().filter(|(_, worker)| worker.is_open(now));
         let workers = open.map(|(instance, worker)| (instance.clone(), LayoutWorker::of(worker)));
         ServingLayout { workers: workers.collect() }
     }
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -10,7 +10,7 @@
 use crate::workflow::room_hold::RoomHolds;
 use crate::workflow::spec::RoomAmount;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// A worker that was silent for so long gets no new work: two waits of a sync call and some.
 pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
@@ -80,8 +80,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// let entry = board.entry("i-1", Instant::now());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// let entry = inventory.entry("i-1", Instant::now());
     /// assert_eq!(entry.free_room().millicores, 0);
     /// ```
     pub fn free_room(&self) -> RoomAmount {
@@ -93,8 +93,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// let room = board.entry("i-1", Instant::now()).room_for(&"a.0.0.0".parse().unwrap(), Instant::now());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// let room = inventory.entry("i-1", Instant::now()).room_for(&"a.0.0.0".parse().unwrap(), Instant::now());
     /// assert_eq!(room.millicores, 0);
     /// ```
     pub fn room_for(&self, task: &TaskName, now: Instant) -> RoomAmount {
@@ -106,8 +106,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(!board.entry("i-1", Instant::now()).is_open(Instant::now()));
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(!inventory.entry("i-1", Instant::now()).is_open(Instant::now()));
     /// ```
     pub fn is_open(&self, now: Instant) -> bool {
         let is_heard =
@@ -122,8 +122,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.entry("i-1", Instant::now()).fill_room(), 0.0);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).fill_room(), 0.0);
     /// ```
     pub fn fill_room(&self) -> f64 {
         let Some(status) = &self.status else {
@@ -143,8 +143,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.entry("i-1", Instant::now()).fill_demand(), 0.0);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).fill_demand(), 0.0);
     /// ```
     pub fn fill_demand(&self) -> f64 {
         let fills = self.assigned.values().filter(|run| run.fills);
@@ -160,8 +160,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(!board.entry("i-1", Instant::now()).holds_fills_back());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(!inventory.entry("i-1", Instant::now()).holds_fills_back());
     /// ```
     pub fn holds_fills_back(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
@@ -178,8 +178,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(!board.entry("i-1", Instant::now()).is_serving());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(!inventory.entry("i-1", Instant::now()).is_serving());
     /// ```
     pub fn is_serving(&self) -> bool {
         self.assigned.values().any(|run| run.target_ms > 0)
@@ -190,8 +190,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.entry("i-1", Instant::now()).stake(), 0.0);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).stake(), 0.0);
     /// ```
     pub fn stake(&self) -> f64 {
         let weight = |run: &AssignedRun| if run.target_ms > 0 { 2.0 } else { 1.0 };
@@ -203,8 +203,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.entry("i-1", Instant::now()).newest(), None);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).newest(), None);
     /// ```
     pub fn newest(&self) -> Option<Instant> {
         self.assigned.values().map(|run| run.since).max()
@@ -215,8 +215,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(!board.entry("i-1", Instant::now()).serves_image("x"));
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(!inventory.entry("i-1", Instant::now()).serves_image("x"));
     /// ```
     pub fn serves_image(&self, image: &str) -> bool {
         self.assigned.values().any(|run| run.target_ms > 0 && run.image == image)
@@ -227,9 +227,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let name = "a.0.0.0".parse().unwrap();
-    /// assert_eq!(board.entry("i-1", Instant::now()).of_step(&name), 0);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).of_step(&name), 0);
     /// ```
     pub fn of_step(&self, name: &TaskName) -> u32 {
         let is_same = |key: &&RunKey| {
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_inventory.rs
@@ -23,18 +23,18 @@
 
 /// All workers, by the life of their runner.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerBoard {
+pub struct WorkerInventory {
     workers: BTreeMap<InstanceId, WorkerEntry>,
 }
 
-impl WorkerBoard {
+impl WorkerInventory {
     /// The entry of a life, made when it is new. `lease_end` bounds what earlier planners granted.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.entry("i-1", Instant::now()).status.is_none());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.entry("i-1", Instant::now()).status.is_none());
     /// ```
     pub fn entry(&mut self, instance: &str, lease_end: Instant) -> &mut WorkerEntry {
         let made = || WorkerEntry::new(lease_end);
@@ -44,7 +44,7 @@
     /// A worker, if it is known.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::worker_board::WorkerBoard::default().get("i-1").is_none());
+    /// assert!(greengagearch::workflow::worker_inventory::WorkerInventory::default().get("i-1").is_none());
     /// ```
     pub fn get(&self, instance: &str) -> Option<&WorkerEntry> {
         self.workers.get(instance)
@@ -53,8 +53,8 @@
     /// A worker to be changed, if it is known.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.get_mut("i-1").is_none());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.get_mut("i-1").is_none());
     /// ```
     pub fn get_mut(&mut self, instance: &str) -> Option<&mut WorkerEntry> {
         self.workers.get_mut(instance)
@@ -63,8 +63,8 @@
     /// All workers.
     ///
     /// ```
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.iter().count(), 0);
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &WorkerEntry)> {
         self.workers.iter()
@@ -75,8 +75,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.kept_tasks(Instant::now()).is_empty());
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.kept_tasks(Instant::now()).is_empty());
     /// ```
     pub fn kept_tasks(&self, now: Instant) -> HashSet<TaskName> {
         self.workers.values().flat_map(|worker| worker.holds.tasks(now)).cloned().collect()
@@ -90,9 +90,9 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let now = Instant::now();
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// board.assign("i-1", ("a.0.0.0".parse().unwrap(), 1), &StepSpec::default(), now, now);
-    /// assert_eq!(board.get("i-1").unwrap().assigned.len(), 1);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// inventory.assign("i-1", ("a.0.0.0".parse().unwrap(), 1), &StepSpec::default(), now, now);
+    /// assert_eq!(inventory.get("i-1").unwrap().assigned.len(), 1);
     /// ```
     pub fn assign(
         &mut self,
@@ -132,9 +132,9 @@
     /// Takes a run from a worker, since it has ended there.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert!(board.release("i-1", &key, std::time::Instant::now()).is_none());
+    /// assert!(inventory.release("i-1", &key, std::time::Instant::now()).is_none());
     /// ```
     pub fn release(&mut self, instance: &str, key: &RunKey, now: Instant) -> Option<AssignedRun> {
         let worker = self.workers.get_mut(instance)?;
@@ -164,12 +164,12 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let now = Instant::now();
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// board.assign("i-1@1", key.clone(), &StepSpec::default(), now, now);
-    /// board.entry("i-1@2", now);
-    /// assert!(!board.hand_over("i-1@1", "i-1@2", &key));
-    /// assert_eq!(board.get("i-1@2").unwrap().assigned.len(), 1);
+    /// inventory.assign("i-1@1", key.clone(), &StepSpec::default(), now, now);
+    /// inventory.entry("i-1@2", now);
+    /// assert!(!inventory.hand_over("i-1@1", "i-1@2", &key));
+    /// assert_eq!(inventory.get("i-1@2").unwrap().assigned.len(), 1);
     /// ```
     pub fn hand_over(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
         let Some(before) = self.workers.get_mut(from) else {
@@ -190,8 +190,8 @@
     /// Forgets a life of a runner; gives the runs that it had.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.forget("i-1").is_empty());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.forget("i-1").is_empty());
     /// ```
     pub fn forget(&mut self, instance: &str) -> Vec<RunKey> {
         let worker = self.workers.remove(instance);
@@ -203,8 +203,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.expired(Instant::now()).is_empty());
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.expired(Instant::now()).is_empty());
     /// ```
     pub fn expired(&self, now: Instant) -> Vec<InstanceId> {
         let is_expired = |entry: &(&InstanceId, &WorkerEntry)| {
@@ -221,8 +221,8 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// board.on_full("i-1", Instant::now());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// inventory.on_full("i-1", Instant::now());
     /// ```
     pub fn on_full(&mut self, instance: &str, now: Instant) {
         if let Some(worker) = self.workers.get_mut(instance) {
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -17,7 +17,7 @@
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::task_name::TaskName;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 use rand::RngExt;
 use rand::rngs::StdRng;
 
--- a/tests/crashing_task.rs
+++ b/tests/crashing_task.rs
@@ -22,7 +22,7 @@
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 use crate::planning::PlannedFleet;
 use crate::planning::PlayedRunner;
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -15,7 +15,7 @@
 use greengagearch::process::node::pending_start::StartStep;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::spec::RoomAmount;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
--- a/tests/given_up_runs.rs
+++ b/tests/given_up_runs.rs
@@ -8,7 +8,7 @@
 use greengagearch::connection::node_protocol::RunnerCrash;
 use greengagearch::workflow::plan_decision::PlanDecision;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 use crate::planning::PlannedFleet;
 use crate::planning::job;
--- a/tests/kept_places.rs
+++ b/tests/kept_places.rs
@@ -7,7 +7,7 @@
 
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::StepSpec;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 use crate::planning::PlannedFleet;
 use crate::planning::job;
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -20,7 +20,7 @@
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::spec::RoomAmount;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
 
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -15,7 +15,7 @@
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
-use greengagearch::workflow::worker_board::WorkerBoard;
+use greengagearch::workflow::worker_inventory::WorkerInventory;
 
 use crate::planning::PlannedFleet;
 use crate::planning::job;
@@ -151,10 +151,10 @@
 #[test]
 fn a_task_costs_nothing_beside_its_own_job_and_most_where_nothing_else_serves() {
     let now = Instant::now();
-    let mut board = WorkerBoard::default();
+    let mut inventory = WorkerInventory::default();
     let serving = StepSpec { long_running: true, target_ms: 50, ..step(1, 100) };
     for (worker, jobs) in [("i-0", 0), ("i-1", 1), ("i-5", 5)] {
-        let entry = board.entry(worker, now);
+        let entry = inventory.entry(worker, now);
         entry.status = Some(RunnerStatus {
             instance: worker.to_string(),
             service: planning::SERVICE.to_string(),
@@ -167,10 +167,10 @@
         entry.resync = false;
         for job in 0..jobs {
             let key = (format!("s{job}.0.0.0").parse().unwrap(), 1);
-            board.assign(worker, key, &serving, now, now);
+            inventory.assign(worker, key, &serving, now, now);
         }
     }
-    let layout = ServingLayout::of(&board, now);
+    let layout = ServingLayout::of(&inventory, now);
     let lost = |worker: &str, job: &str| layout.workers[worker].lost_with(job);
     assert_eq!(lost("i-1", "s0"), 0.0);
     assert!(lost("i-0", "s9") > lost("i-1", "s9"));
--- a/tests/planning_world/mod.rs
+++ b/tests/planning_world/mod.rs
@@ -41,7 +41,7 @@
 use greengagearch::workflow::spec::RoomAmount;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::task_name::TaskName;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/tests/planning_world/runner.rs
+++ b/tests/planning_world/runner.rs
@@ -7,7 +7,7 @@
 use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::task_name::TaskName;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 /// A run as it really was.
 #[derive(Clone, Debug)]
