--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -35,7 +35,7 @@
 /// Thousandths of a core that make up one unit of cost; larger than any worker, so that size only
 /// decides between workers that are equally free.
 const SIZE_UNIT: f64 = 1_000_000.0;
-/// Added to the cost of a worker that is emptied, and taken off where room is kept for the task: more than all other
+/// Added to the cost of a worker that is being emptied, and taken off where room is kept for the task: more than all other
 /// costs together, since both were decided before.
 const DECIDED_COST: f64 = 10.0;
 /// Time after its newest assignment in which a worker is avoided by a suspect: its order is delivered by then.
@@ -88,8 +88,8 @@
     pub disturbance: &'a DisturbanceModel,
     /// What the advice service has said.
     pub advice: &'a AdviceBook,
-    /// A worker that is emptied of what serves.
-    pub emptied: Option<&'a str>,
+    /// A worker that is being emptied of what serves.
+    pub being_emptied: Option<&'a str>,
     /// The time.
     pub now: Instant,
 }
@@ -131,7 +131,7 @@
 ///     suspicion: &suspicion,
 ///     disturbance: &disturbance,
 ///     advice: &advice,
-///     emptied: None,
+///     being_emptied: None,
 ///     now: Instant::now(),
 /// };
 /// assert_eq!(choose(&need, &view), None);
@@ -214,7 +214,7 @@
     if need.avoid.iter().any(|avoided| avoided == instance) {
         cost += FAILED_COST;
     }
-    if step.long_running && view.emptied == Some(instance) {
+    if step.long_running && view.being_emptied == Some(instance) {
         cost += DECIDED_COST;
     }
     if worker.holds.is_for(need.task, view.now) {
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -21,7 +21,7 @@
 use crate::workflow::disturbance::DisturbanceModel;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner_batch::PlanBatch;
-use crate::workflow::planner_gathering::GatheringState;
+use crate::workflow::planner_consolidation::ConsolidationState;
 use crate::workflow::planner_jobs::EndedJob;
 use crate::workflow::planner_jobs::JobEntry;
 use crate::workflow::progress::RunEnd;
@@ -54,7 +54,7 @@
     pub(crate) held_acks: BTreeMap<InstanceId, u64>,
     pub(crate) outbox: Vec<AddressedOrder>,
     pub(crate) decisions: Vec<PlanDecision>,
-    pub(crate) gathering: GatheringState,
+    pub(crate) consolidation: ConsolidationState,
     pub(crate) stored_ends: BTreeMap<InstanceId, u64>,
     /// When leases that earlier planners granted have surely expired.
     pub(crate) inherited_end: Instant,
@@ -87,7 +87,7 @@
             held_acks: BTreeMap::new(),
             outbox: Vec::new(),
             decisions: Vec::new(),
-            gathering: GatheringState::default(),
+            consolidation: ConsolidationState::default(),
             stored_ends: BTreeMap::new(),
             inherited_end,
         }
@@ -134,7 +134,7 @@
         }
         self.move_held_up();
         self.evacuate();
-        self.gather();
+        self.consolidate();
         for entry in self.jobs.values_mut() {
             entry.outlook = None;
             let spec = &entry.spec;
--- a/src/workflow/planner_gathering.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -3,7 +3,7 @@
 //!
 //! Beside the tasks of several jobs that serve, a worker bears one or two fills, since each adds to the load of all
 //! of them; beside one job it bears six, and where nothing serves as many as it has processors for. So a worker with
-//! few tasks that serve is emptied where others have room, and single tasks go to where their job is or where many
+//! few tasks that serve is being emptied where others have room, and single tasks go to where their job is or where many
 //! jobs serve already. A move costs users of a service about a second of one of its tasks; it is made only while
 //! fills wait or are slowed, only while all tasks of its step are at work, one of a step at a time, and into a place
 //! that is kept for it. Bulk work gains room by it, and what serves is disturbed less.
@@ -43,16 +43,16 @@
 
 /// What the planner is at in bringing tasks that serve together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct GatheringState {
-    /// The worker that is emptied and until when that is tried.
-    emptied: Option<(InstanceId, Instant)>,
+pub struct ConsolidationState {
+    /// The worker that is being emptied and until when that is tried.
+    being_emptied: Option<(InstanceId, Instant)>,
     looked: Option<Instant>,
 }
 
-impl GatheringState {
-    /// The worker that is emptied of what serves.
-    pub(crate) fn emptied(&self) -> Option<&str> {
-        self.emptied.as_ref().map(|(worker, _)| worker.as_str())
+impl ConsolidationState {
+    /// The worker that is being emptied of what serves.
+    pub(crate) fn being_emptied(&self) -> Option<&str> {
+        self.being_emptied.as_ref().map(|(worker, _)| worker.as_str())
     }
 }
 
@@ -66,18 +66,18 @@
 
 impl Planner {
     /// Looks whether moves of tasks that serve make room for fills, and begins some.
-    pub(crate) fn gather(&mut self) {
+    pub(crate) fn consolidate(&mut self) {
         let is_recent = |at: Instant| self.now.saturating_duration_since(at) < LOOK_PAUSE;
-        if self.gathering.looked.is_some_and(is_recent) {
+        if self.consolidation.looked.is_some_and(is_recent) {
             return;
         }
-        self.gathering.looked = Some(self.now);
-        if let Some((worker, until)) = self.gathering.emptied.clone() {
+        self.consolidation.looked = Some(self.now);
+        if let Some((worker, until)) = self.consolidation.being_emptied.clone() {
             let runs = self.serving_keys(&worker);
             if runs.is_empty() || self.now >= until {
-                self.gathering.emptied = None;
+                self.consolidation.being_emptied = None;
             } else {
-                self.go_on_emptying(&worker, runs);
+                self.continue_emptying(&worker, runs);
             }
             return;
         }
@@ -86,7 +86,7 @@
         }
         let layout = ServingLayout::of(&self.inventory, self.now);
         if let Some(worker) = self.worker_to_empty(&layout) {
-            self.gathering.emptied = Some((worker, self.now + EMPTIED_WITHIN));
+            self.consolidation.being_emptied = Some((worker, self.now + EMPTIED_WITHIN));
         } else if let Some(best) = self.best_move(&layout) {
             self.move_run(&best.from, best.key, &best.to, MoveReason::Gathered);
         }
@@ -149,7 +149,7 @@
     }
 
     /// Moves the tasks whose siblings are all at work, each when there is room for it now.
-    fn go_on_emptying(&mut self, from: &str, runs: Vec<RunKey>) {
+    fn continue_emptying(&mut self, from: &str, runs: Vec<RunKey>) {
         for key in runs {
             if !self.is_step_at_work(&key.0) {
                 continue;
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -330,7 +330,7 @@
             suspicion: &self.suspicion,
             disturbance: &self.disturbance,
             advice: &self.advice,
-            emptied: self.gathering.emptied(),
+            being_emptied: self.consolidation.being_emptied(),
             now: self.now,
         }
     }
