--- a/src/workflow/hopeless_needs.rs
+++ b/src/workflow/hopeless_needs.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::ImageName;
 use crate::ids::ServiceName;
-use crate::workflow::placement::PlacementNeed;
+use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::spec::RoomAmount;
 
@@ -26,39 +26,39 @@
 
 impl HopelessNeeds {
     /// Whether nothing will be found in this round.
-    pub(crate) fn covers(&self, need: &PlacementNeed<'_>) -> bool {
-        is_shared(need) && self.known.iter().any(|known| known.covers(need))
+    pub(crate) fn covers(&self, request: &PlacementRequest<'_>) -> bool {
+        is_shared(request) && self.known.iter().any(|known| known.covers(request))
     }
 
     /// Takes note that nothing was found.
-    pub(crate) fn add(&mut self, need: &PlacementNeed<'_>) {
-        if is_shared(need) {
+    pub(crate) fn add(&mut self, request: &PlacementRequest<'_>) {
+        if is_shared(request) {
             self.known.push(HopelessNeed {
-                service: need.service.to_string(),
-                required_label: need.step.required_label.clone(),
-                filling: filling_of(need).map(|(image, risk)| (image.to_string(), risk)),
-                room: need.step.room,
+                service: request.service.to_string(),
+                required_label: request.step.required_label.clone(),
+                filling: filling_of(request).map(|(image, risk)| (image.to_string(), risk)),
+                room: request.step.room,
             });
         }
     }
 }
 
 impl HopelessNeed {
-    fn covers(&self, need: &PlacementNeed<'_>) -> bool {
+    fn covers(&self, request: &PlacementRequest<'_>) -> bool {
         let filling = self.filling.as_ref().map(|(image, risk)| (image.as_str(), *risk));
-        self.service == need.service
-            && self.required_label == need.step.required_label
-            && filling == filling_of(need)
-            && need.step.room.contains(&self.room)
+        self.service == request.service
+            && self.required_label == request.step.required_label
+            && filling == filling_of(request)
+            && request.step.room.contains(&self.room)
     }
 }
 
-fn filling_of<'a>(need: &PlacementNeed<'a>) -> Option<(&'a str, RiskLimit)> {
-    need.step.fills.then_some((need.step.image.as_str(), need.risk))
+fn filling_of<'a>(request: &PlacementRequest<'a>) -> Option<(&'a str, RiskLimit)> {
+    request.step.fills.then_some((request.step.image.as_str(), request.risk))
 }
 
 /// Whether a need depends on nothing that is its task's alone.
-fn is_shared(need: &PlacementNeed<'_>) -> bool {
-    let is_free = need.rack.is_none() && need.not_on.is_none();
-    is_free && !need.needs_ticket && need.step.max_per_worker == 0
+fn is_shared(request: &PlacementRequest<'_>) -> bool {
+    let is_free = request.rack.is_none() && request.not_on.is_none();
+    is_free && !request.needs_ticket && request.step.max_per_worker == 0
 }
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -45,7 +45,7 @@
 
 /// What a task needs, and where it must not go.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementNeed<'a> {
+pub struct PlacementRequest<'a> {
     /// The task.
     pub task: &'a TaskName,
     /// Its step.
@@ -102,7 +102,7 @@
 /// use greengagearch::process::suspicion::WorkerSuspicion;
 /// use greengagearch::workflow::advice_book::AdviceBook;
 /// use greengagearch::workflow::disturbance::DisturbanceModel;
-/// use greengagearch::workflow::placement::PlacementNeed;
+/// use greengagearch::workflow::placement::PlacementRequest;
 /// use greengagearch::workflow::placement::PlacementView;
 /// use greengagearch::workflow::placement::RiskLimit;
 /// use greengagearch::workflow::placement::choose;
@@ -112,7 +112,7 @@
 /// let task = "a.0.0.0".parse().unwrap();
 /// let step = StepSpec::default();
 /// let risk = RiskLimit::Known;
-/// let need = PlacementNeed {
+/// let request = PlacementRequest {
 ///     task: &task,
 ///     step: &step,
 ///     service: "s",
@@ -134,17 +134,17 @@
 ///     being_emptied: None,
 ///     now: Instant::now(),
 /// };
-/// assert_eq!(choose(&need, &view), None);
+/// assert_eq!(choose(&request, &view), None);
 /// ```
-pub fn choose(need: &PlacementNeed<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
+pub fn choose(request: &PlacementRequest<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.inventory.iter() {
-        let room = worker.room_for(need.task, view.now);
-        let has_room = room.contains(&need.step.counted_room());
-        if !has_room || !fits_but_for_room(need, view, instance, worker) {
+        let room = worker.room_for(request.task, view.now);
+        let has_room = room.contains(&request.step.counted_room());
+        if !has_room || !fits_but_for_room(request, view, instance, worker) {
             continue;
         }
-        let Some(cost) = cost(need, view, instance, worker) else {
+        let Some(cost) = cost(request, view, instance, worker) else {
             continue;
         };
         if best.is_none_or(|(least, _)| cost < least) {
@@ -156,7 +156,7 @@
 
 /// Whether a worker may take a task, whether it has room or not.
 pub(crate) fn fits_but_for_room(
-    need: &PlacementNeed<'_>,
+    request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
     instance: &str,
     worker: &WorkerEntry,
@@ -164,22 +164,22 @@
     let Some(status) = worker.status.as_ref() else {
         return false;
     };
-    let step = need.step;
+    let step = request.step;
     let is_trusted = || view.suspicion.starts_left(instance, view.now) != Some(0);
     let has_label =
         || step.required_label.is_empty() || status.labels.contains(&step.required_label);
     let has_ticket = || {
-        let ticket = || view.advice.ticket(&need.task.step_key(), instance, view.now);
-        !need.needs_ticket || ticket().is_some()
+        let ticket = || view.advice.ticket(&request.task.step_key(), instance, view.now);
+        !request.needs_ticket || ticket().is_some()
     };
     let is_below_bound =
-        || step.max_per_worker == 0 || worker.of_step(need.task) < step.max_per_worker;
+        || step.max_per_worker == 0 || worker.of_step(request.task) < step.max_per_worker;
     // What starts beside a suspect would hide which of them crashed the worker, and be lost with it.
-    let is_shared = worker.isolated.as_ref().is_none_or(|key| is_gang_of(need, &key.0));
-    need.not_on != Some(instance)
+    let is_shared = worker.isolated.as_ref().is_none_or(|key| is_gang_of(request, &key.0));
+    request.not_on != Some(instance)
         && is_shared
-        && status.service == need.service
-        && need.rack.is_none_or(|rack| status.rack() == rack)
+        && status.service == request.service
+        && request.rack.is_none_or(|rack| status.rack() == rack)
         && worker.is_open(view.now)
         && is_trusted()
         && has_label()
@@ -188,22 +188,22 @@
 }
 
 /// Whether a task is of the gang that needs a worker; members may share one.
-fn is_gang_of(need: &PlacementNeed<'_>, other: &TaskName) -> bool {
-    need.step.gang && need.task.step_key() == other.step_key()
+fn is_gang_of(request: &PlacementRequest<'_>, other: &TaskName) -> bool {
+    request.step.gang && request.task.step_key() == other.step_key()
 }
 
 /// What it costs to put a task on a worker that has room; nothing when that is too great a risk for others.
 fn cost(
-    need: &PlacementNeed<'_>,
+    request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
     instance: &str,
     worker: &WorkerEntry,
 ) -> Option<f64> {
     let status = worker.status.as_ref()?;
-    let step = need.step;
+    let step = request.step;
     let mut cost =
-        if step.fills { fill_cost(need, view, worker)? } else { packed_cost(need, worker) };
-    if need.is_isolated {
+        if step.fills { fill_cost(request, view, worker)? } else { packed_cost(request, worker) };
+    if request.is_isolated {
         // Where the least is lost if it crashes this worker as well, and no other run is as new, so that the crash names it.
         let is_fresh = worker.newest().is_some_and(|at| view.now < at + FRESH_SPAN);
         cost = worker.stake() / SIZE_UNIT + if is_fresh { DECIDED_COST } else { 0.0 };
@@ -211,13 +211,13 @@
     if !step.preferred_rack.is_empty() && !status.labels.contains(&step.preferred_rack) {
         cost += OFF_RACK_COST;
     }
-    if need.avoid.iter().any(|avoided| avoided == instance) {
+    if request.avoid.iter().any(|avoided| avoided == instance) {
         cost += FAILED_COST;
     }
     if step.long_running && view.being_emptied == Some(instance) {
         cost += DECIDED_COST;
     }
-    if worker.holds.is_for(need.task, view.now) {
+    if worker.holds.is_for(request.task, view.now) {
         cost -= DECIDED_COST;
     }
     Some(cost)
@@ -225,38 +225,38 @@
 
 /// Share of the guarded processor time that is left, so that the fullest worker is filled first. Work
 /// that serves is kept together, because tasks that fill are only let loose where nothing serves.
-fn packed_cost(need: &PlacementNeed<'_>, worker: &WorkerEntry) -> f64 {
+fn packed_cost(request: &PlacementRequest<'_>, worker: &WorkerEntry) -> f64 {
     let capacity = worker.status.as_ref().map_or(0, |status| status.capacity.millicores);
     let left = worker.free_room().millicores as f64 / capacity.max(1) as f64;
     // Of workers on which nothing serves the largest is opened first, so that few have to be.
     let size = capacity as f64 / SIZE_UNIT;
     let cost = if worker.is_serving() { left } else { left + NOT_SERVING_COST - size };
-    let is_alike = need.step.target_ms > 0 && worker.serves_image(&need.step.image);
+    let is_alike = request.step.target_ms > 0 && worker.serves_image(&request.step.image);
     if is_alike { cost - SAME_IMAGE_GAIN } else { cost }
 }
 
 /// Demand of fills against what is left to them, with this one, and the risk for what serves.
 fn fill_cost(
-    need: &PlacementNeed<'_>,
+    request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
     worker: &WorkerEntry,
 ) -> Option<f64> {
     let room = worker.fill_room();
-    let wanted = need.step.room.millicores as f64;
-    let demand = worker.fill_demand() + worker.holds.filling(need.task, view.now);
+    let wanted = request.step.room.millicores as f64;
+    let demand = worker.fill_demand() + worker.holds.filling(request.task, view.now);
     let is_alone = demand == 0.0 && room > 0.0;
-    if room - demand < wanted * LEAST_FILL && !is_alone && need.risk != RiskLimit::Any {
+    if room - demand < wanted * LEAST_FILL && !is_alone && request.risk != RiskLimit::Any {
         return None;
     }
     let load = (demand + wanted) / room.max(1.0);
     if !worker.is_serving() {
         return Some(load);
     }
-    if worker.holds_fills_back() && need.risk != RiskLimit::Any {
+    if worker.holds_fills_back() && request.risk != RiskLimit::Any {
         return None;
     }
-    let risk = view.disturbance.risk(worker, &need.step.image);
-    let is_allowed = match need.risk {
+    let risk = view.disturbance.risk(worker, &request.step.image);
+    let is_allowed = match request.risk {
         RiskLimit::Known => !risk.is_unseen && risk.is_low(),
         RiskLimit::Explore => {
             let passed = |at: Instant| view.now.saturating_duration_since(at) > EXPLORE_PAUSE;
--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -132,12 +132,13 @@
         };
         let view = self.placement_view();
         serving_runs(worker).all(|(key, run)| {
-            let Some(need) = self.move_need(&key.0, instance).filter(|_| self.is_settled(run))
+            let Some(request) =
+                self.move_request(&key.0, instance).filter(|_| self.is_settled(run))
             else {
                 return false;
             };
             let fitting = rooms.iter_mut().filter(|(other, room)| {
-                let fits = |entry| fits_but_for_room(&need, &view, other, entry);
+                let fits = |entry| fits_but_for_room(&request, &view, other, entry);
                 room.contains(&run.counted) && self.inventory.get(other).is_some_and(fits)
             });
             let Some((_, room)) = fitting.min_by_key(|(_, room)| room.millicores) else {
@@ -162,13 +163,13 @@
 
     /// The fullest worker beside whose tasks that serve there is room for another one now.
     fn fullest_place(&self, name: &TaskName, from: &str) -> Option<InstanceId> {
-        let need = self.move_need(name, from)?;
+        let request = self.move_request(name, from)?;
         let view = self.placement_view();
-        let wanted = need.step.counted_room();
+        let wanted = request.step.counted_room();
         let fitting = self.inventory.iter().filter(|(instance, worker)| {
             worker.is_serving()
                 && worker.room_for(name, self.now).contains(&wanted)
-                && fits_but_for_room(&need, &view, instance, worker)
+                && fits_but_for_room(&request, &view, instance, worker)
         });
         let fullest = fitting.min_by_key(|(_, worker)| lasting_room(worker).millicores);
         fullest.map(|(instance, _)| instance.clone())
@@ -203,7 +204,7 @@
         key: &RunKey,
         run: &AssignedRun,
     ) -> Option<(f64, InstanceId)> {
-        let need = self.move_need(&key.0, from)?;
+        let request = self.move_request(&key.0, from)?;
         let view = self.placement_view();
         let mut best: Option<(f64, &InstanceId)> = None;
         for (to, worker) in layout.workers.iter().filter(|(_, worker)| worker.serving() > 0) {
@@ -215,7 +216,7 @@
                 continue;
             };
             let has_room = entry.room_for(&key.0, self.now).contains(&run.counted);
-            if has_room && fits_but_for_room(&need, &view, to, entry) {
+            if has_room && fits_but_for_room(&request, &view, to, entry) {
                 best = Some((lost, to));
             }
         }
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::ids::InstanceId;
-use crate::workflow::placement::PlacementNeed;
+use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::placement::choose;
 use crate::workflow::plan_decision::MoveReason;
@@ -102,18 +102,18 @@
 
     /// The worker that would take a task without risk for what serves there.
     fn place_for(&self, instance: &str, key: &RunKey) -> Option<InstanceId> {
-        let need = self.move_need(&key.0, instance)?;
-        choose(&need, &self.placement_view())
+        let request = self.move_request(&key.0, instance)?;
+        choose(&request, &self.placement_view())
     }
 
     /// What a task needs of the worker that it is moved to.
-    pub(crate) fn move_need<'a>(
+    pub(crate) fn move_request<'a>(
         &'a self,
         name: &'a TaskName,
         from: &'a str,
-    ) -> Option<PlacementNeed<'a>> {
+    ) -> Option<PlacementRequest<'a>> {
         let step = self.jobs.get(&name.job)?.step(name)?;
-        let need = self.need(name, step, None, Some(from))?;
-        Some(PlacementNeed { risk: RiskLimit::Known, ..need })
+        let request = self.placement_request(name, step, None, Some(from))?;
+        Some(PlacementRequest { risk: RiskLimit::Known, ..request })
     }
 }
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -57,12 +57,12 @@
     }
 
     fn cheapest_displacement(&self, name: &TaskName, spec: &StepSpec) -> Option<Displacement> {
-        let need = self.need(name, spec, None, None)?;
+        let request = self.placement_request(name, spec, None, None)?;
         let view = self.placement_view();
         let fitting = self
             .inventory
             .iter()
-            .filter(|(instance, one)| fits_but_for_room(&need, &view, instance, one));
+            .filter(|(instance, one)| fits_but_for_room(&request, &view, instance, one));
         let each =
             fitting.filter_map(|(instance, one)| self.displacement(name, spec, instance, one));
         each.min_by_key(|displacement| displacement.lost)
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -10,7 +10,7 @@
 use crate::workflow::advice_book::StepKey;
 use crate::workflow::hopeless_needs::HopelessNeeds;
 use crate::workflow::job_outlook::JobOutlook;
-use crate::workflow::placement::PlacementNeed;
+use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::PlacementView;
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::placement::choose;
@@ -279,7 +279,7 @@
         rack: Option<&str>,
         not_on: Option<&str>,
     ) -> Option<InstanceId> {
-        choose(&self.need(name, spec, rack, not_on)?, &self.placement_view())
+        choose(&self.placement_request(name, spec, rack, not_on)?, &self.placement_view())
     }
 
     /// A worker for a task, unless this round has found none for a need of its kind.
@@ -289,28 +289,28 @@
         spec: &StepSpec,
         hopeless: &mut HopelessNeeds,
     ) -> Option<InstanceId> {
-        let need = self.need(name, spec, None, None)?;
-        if hopeless.covers(&need) {
+        let request = self.placement_request(name, spec, None, None)?;
+        if hopeless.covers(&request) {
             return None;
         }
-        let chosen = choose(&need, &self.placement_view());
+        let chosen = choose(&request, &self.placement_view());
         if chosen.is_none() {
-            hopeless.add(&need);
+            hopeless.add(&request);
         }
         chosen
     }
 
     /// What a task needs of its worker.
-    pub(crate) fn need<'a>(
+    pub(crate) fn placement_request<'a>(
         &'a self,
         name: &'a TaskName,
         spec: &'a StepSpec,
         rack: Option<&'a str>,
         not_on: Option<&'a str>,
-    ) -> Option<PlacementNeed<'a>> {
+    ) -> Option<PlacementRequest<'a>> {
         let entry = self.jobs.get(&name.job)?;
         let avoid = entry.failed_on.get(&(name.occurrence, name.step, name.index));
-        Some(PlacementNeed {
+        Some(PlacementRequest {
             task: name,
             step: spec,
             service: &entry.spec.policy.service,
