--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -69,7 +69,7 @@
                 ("epoch", &epoch),
             ],
         ),
-        PlanDecision::Displaced { task, run, worker, by } => log_event(
+        PlanDecision::Preempted { task, run, worker, by } => log_event(
             Level::Info,
             "task_displaced",
             &[("task", task), ("run", run), ("worker", worker), ("by", by), ("epoch", &epoch)],
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -98,7 +98,7 @@
         why: MoveReason,
     },
     /// A run is stopped to make room for a task that goes before it.
-    Displaced {
+    Preempted {
         /// The task of the run.
         task: TaskName,
         /// The run.
@@ -190,7 +190,7 @@
             PlanDecision::RunAbsent { .. } => "absent",
             PlanDecision::RunAdopted { .. } => "adopted",
             PlanDecision::Moved { .. } => "moved",
-            PlanDecision::Displaced { .. } => "displaced",
+            PlanDecision::Preempted { .. } => "displaced",
             PlanDecision::JobEnded { .. } => "job_ended",
             PlanDecision::WorkerSuspected { .. } => "worker_suspected",
             PlanDecision::WorkerTrusted { .. } => "worker_trusted",
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -40,7 +40,7 @@
     /// When a run of it last started or ended, in milliseconds since the Unix epoch.
     pub last_run_ms: u64,
     /// When others were last stopped to make room for it, in milliseconds since the Unix epoch.
-    pub displaced_ms: u64,
+    pub preempted_ms: u64,
     /// What is known of how long its tasks take.
     pub forecast: JobForecast,
     /// What is left of it; nothing when that has to be worked out anew.
@@ -81,7 +81,7 @@
             end_stored: false,
             failed_on: HashMap::new(),
             next_occurrence: 0,
-            displaced_ms: 0,
+            preempted_ms: 0,
             forecast: JobForecast::default(),
             outlook: None,
         }
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -21,7 +21,7 @@
 const SAVED_EVERY: Duration = Duration::from_millis(1_000);
 
 /// Runs on one worker that would have to stop.
-struct Displacement {
+struct Preemption {
     worker: InstanceId,
     runs: Vec<RunKey>,
     /// Processor time that is lost, in thousandths of a core times milliseconds.
@@ -30,23 +30,23 @@
 
 impl Planner {
     /// Stops what has to make room for a task that found none. Nothing is stopped for tasks that fill.
-    pub(crate) fn displace_for(&mut self, name: &TaskName, spec: &StepSpec) {
+    pub(crate) fn preempt_for(&mut self, name: &TaskName, spec: &StepSpec) {
         let Some(entry) = self.jobs.get(&name.job) else {
             return;
         };
         let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < WAITED_MS;
-        let is_recent = self.wall_ms.saturating_sub(entry.displaced_ms) < PAUSE_MS;
+        let is_recent = self.wall_ms.saturating_sub(entry.preempted_ms) < PAUSE_MS;
         if spec.fills || is_early || is_recent {
             return;
         }
-        let Some(least) = self.cheapest_displacement(name, spec) else {
+        let Some(least) = self.cheapest_preemption(name, spec) else {
             return;
         };
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            entry.displaced_ms = self.wall_ms;
+            entry.preempted_ms = self.wall_ms;
         }
         for key in least.runs {
-            self.decisions.push(PlanDecision::Displaced {
+            self.decisions.push(PlanDecision::Preempted {
                 task: key.0.clone(),
                 run: key.1,
                 worker: least.worker.clone(),
@@ -56,26 +56,25 @@
         }
     }
 
-    fn cheapest_displacement(&self, name: &TaskName, spec: &StepSpec) -> Option<Displacement> {
+    fn cheapest_preemption(&self, name: &TaskName, spec: &StepSpec) -> Option<Preemption> {
         let request = self.placement_request(name, spec, None, None)?;
         let view = self.placement_view();
         let fitting = self
             .inventory
             .iter()
             .filter(|(instance, one)| fits_but_for_room(&request, &view, instance, one));
-        let each =
-            fitting.filter_map(|(instance, one)| self.displacement(name, spec, instance, one));
-        each.min_by_key(|displacement| displacement.lost)
+        let each = fitting.filter_map(|(instance, one)| self.preemption(name, spec, instance, one));
+        each.min_by_key(|preemption| preemption.lost)
     }
 
     /// What would have to stop on a worker, the cheapest runs first; nothing when that is not enough.
-    fn displacement(
+    fn preemption(
         &self,
         name: &TaskName,
         spec: &StepSpec,
         instance: &str,
         worker: &WorkerEntry,
-    ) -> Option<Displacement> {
+    ) -> Option<Preemption> {
         let wanted = spec.counted_room();
         let mut free = worker.free_room();
         // What is stopping already comes free by itself.
@@ -88,17 +87,16 @@
             .map(|(key, run)| (self.loss(run), key, run))
             .collect();
         lesser.sort_by_key(|(lost, key, _)| (*lost, (*key).clone()));
-        let mut displacement =
-            Displacement { worker: instance.to_string(), runs: Vec::new(), lost: 0 };
+        let mut preemption = Preemption { worker: instance.to_string(), runs: Vec::new(), lost: 0 };
         for (lost, key, run) in lesser {
             if free.contains(&wanted) {
                 break;
             }
             free = free.plus(&run.counted);
-            displacement.runs.push(key.clone());
-            displacement.lost += lost;
+            preemption.runs.push(key.clone());
+            preemption.lost += lost;
         }
-        free.contains(&wanted).then_some(displacement)
+        free.contains(&wanted).then_some(preemption)
     }
 
     /// Whether a task goes before a run: by its queue's priority, and what lasts before what fills.
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -175,7 +175,7 @@
         for name in names {
             let Some(worker) = self.choose_if_hopeful(&name, spec, hopeless) else {
                 // The tasks of a step are alike; where this one finds no room, none does.
-                self.displace_for(&name, spec);
+                self.preempt_for(&name, spec);
                 break;
             };
             let run = self.last_run(&name) + 1;
