--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -98,7 +98,7 @@
         }
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
-            WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
+            WritePurpose::Batch(batch) => planner.on_conflict(batch, newest),
             WritePurpose::Pulse => {}
             // A row that was to be forgotten has changed; it is tried again with its new version.
             WritePurpose::Forget(_) => newest
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -130,9 +130,9 @@
     /// use greengagearch::workflow::planner::Planner;
     /// use greengagearch::workflow::planner_batch::PlanBatch;
     ///
-    /// Planner::new(Instant::now()).on_refused(PlanBatch::default(), Vec::new());
+    /// Planner::new(Instant::now()).on_conflict(PlanBatch::default(), Vec::new());
     /// ```
-    pub fn on_refused(&mut self, batch: PlanBatch, newest: Vec<(JobId, RowVersion, JobRecord)>) {
+    pub fn on_conflict(&mut self, batch: PlanBatch, newest: Vec<(JobId, RowVersion, JobRecord)>) {
         for write in &batch.writes {
             let (PlanWrite::Progress(job, _, _) | PlanWrite::End(job, _, _)) = write;
             self.dirty.insert(job.clone());
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -187,7 +187,7 @@
     let batch = fleet.planner.take_batch().unwrap();
     fleet.cancel("a");
     let record = fleet.records["a"].clone();
-    fleet.planner.on_refused(batch, vec![("a".to_string(), fleet.version, record)]);
+    fleet.planner.on_conflict(batch, vec![("a".to_string(), fleet.version, record)]);
     fleet.round();
     let jobs: Vec<String> = fleet.running().into_iter().map(|(_, key)| key.0.job).collect();
     assert_eq!(jobs, ["b"]);
--- a/tests/planning_world/store.rs
+++ b/tests/planning_world/store.rs
@@ -110,7 +110,7 @@
                     Some((job, version, record))
                 });
                 let newest = newest.collect();
-                process.planner.on_refused(batch, newest);
+                process.planner.on_conflict(batch, newest);
             }
         }
         self.flush(planner);
