--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -180,7 +180,7 @@
         let mut single: Vec<(f64, &InstanceId, &RunKey, &AssignedRun)> = Vec::new();
         for (from, worker) in &layout.workers {
             for (key, run) in self.inventory.get(from).into_iter().flat_map(serving_runs) {
-                let gained = worker.gained_without(&key.0.job);
+                let gained = worker.gain_if_removed(&key.0.job);
                 if gained >= LEAST_GAIN && self.is_settled(run) {
                     single.push((gained, from, key, run));
                 }
@@ -208,7 +208,7 @@
         let view = self.placement_view();
         let mut best: Option<(f64, &InstanceId)> = None;
         for (to, worker) in layout.workers.iter().filter(|(_, worker)| worker.serving() > 0) {
-            let lost = worker.lost_with(&key.0.job);
+            let lost = worker.loss_if_added(&key.0.job);
             if best.is_some_and(|(least, _)| lost >= least) {
                 continue;
             }
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -17,20 +17,20 @@
 
 /// What serves on one worker that may get work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LayoutWorker {
+pub struct WorkerLayout {
     /// Tasks that serve, by their job.
     jobs: BTreeMap<String, usize>,
     /// Guarded capacity that tasks that last leave; what else runs there ends within seconds.
     pub lasting_room: RoomAmount,
 }
 
-impl LayoutWorker {
-    fn of(worker: &WorkerEntry) -> LayoutWorker {
+impl WorkerLayout {
+    fn of(worker: &WorkerEntry) -> WorkerLayout {
         let mut jobs = BTreeMap::new();
         for (key, _) in serving_runs(worker) {
             *jobs.entry(key.0.job.clone()).or_default() += 1;
         }
-        LayoutWorker { jobs, lasting_room: lasting_room(worker) }
+        WorkerLayout { jobs, lasting_room: lasting_room(worker) }
     }
 
     /// Number of tasks that serve.
@@ -57,9 +57,9 @@
     /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let layout = ServingLayout::of(&WorkerInventory::default(), Instant::now());
-    /// assert!(layout.workers.values().all(|worker| worker.gained_without("a") == 0.0));
+    /// assert!(layout.workers.values().all(|worker| worker.gain_if_removed("a") == 0.0));
     /// ```
-    pub fn gained_without(&self, job: &str) -> f64 {
+    pub fn gain_if_removed(&self, job: &str) -> f64 {
         if self.jobs.get(job) != Some(&1) {
             return 0.0;
         }
@@ -75,9 +75,9 @@
     /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let layout = ServingLayout::of(&WorkerInventory::default(), Instant::now());
-    /// assert!(layout.workers.values().all(|worker| worker.lost_with("a") == 0.0));
+    /// assert!(layout.workers.values().all(|worker| worker.loss_if_added("a") == 0.0));
     /// ```
-    pub fn lost_with(&self, job: &str) -> f64 {
+    pub fn loss_if_added(&self, job: &str) -> f64 {
         if self.jobs.contains_key(job) {
             return 0.0;
         }
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingLayout {
     /// By the life of their runner.
-    pub workers: BTreeMap<InstanceId, LayoutWorker>,
+    pub workers: BTreeMap<InstanceId, WorkerLayout>,
 }
 
 impl ServingLayout {
@@ -105,7 +105,7 @@
     /// ```
     pub fn of(inventory: &WorkerInventory, now: Instant) -> ServingLayout {
         let open = inventory.iter().filter(|(_, worker)| worker.is_open(now));
-        let workers = open.map(|(instance, worker)| (instance.clone(), LayoutWorker::of(worker)));
+        let workers = open.map(|(instance, worker)| (instance.clone(), WorkerLayout::of(worker)));
         ServingLayout { workers: workers.collect() }
     }
 }
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -171,10 +171,10 @@
         }
     }
     let layout = ServingLayout::of(&inventory, now);
-    let lost = |worker: &str, job: &str| layout.workers[worker].lost_with(job);
+    let lost = |worker: &str, job: &str| layout.workers[worker].loss_if_added(job);
     assert_eq!(lost("i-1", "s0"), 0.0);
     assert!(lost("i-0", "s9") > lost("i-1", "s9"));
     assert!(lost("i-1", "s9") > lost("i-5", "s9"));
-    assert_eq!(layout.workers["i-1"].gained_without("s0"), lost("i-0", "s0"));
-    assert_eq!(layout.workers["i-1"].gained_without("s9"), 0.0);
+    assert_eq!(layout.workers["i-1"].gain_if_removed("s0"), lost("i-0", "s0"));
+    assert_eq!(layout.workers["i-1"].gain_if_removed("s9"), 0.0);
 }
