--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -15,32 +15,32 @@
     /// Jobs that are not forgotten.
     pub jobs: usize,
     /// Tasks whose turn has come and that do not run.
-    pub waiting: usize,
+    pub waiting_tasks: usize,
     /// Runs that serve.
-    pub serving: usize,
+    pub serving_runs: usize,
     /// Runs that fill.
-    pub filling: usize,
+    pub best_effort_runs: usize,
     /// Runs that fill and are held up.
-    pub slowed: usize,
+    pub throttled_runs: usize,
     /// Processor time that runs that fill would use at their present pace, in thousandths of a core.
-    pub fill_wanted: u64,
+    pub best_effort_demand: u64,
     /// Processor time that they use, in thousandths of a core.
-    pub fill_used: u64,
+    pub best_effort_usage: u64,
     /// Other runs.
-    pub others: usize,
+    pub other_runs: usize,
     /// Workers that take new work.
-    pub workers: usize,
+    pub open_workers: usize,
     /// Workers on which something serves.
     pub serving_workers: usize,
     /// Workers that get no more fills, because those that they have are slowed.
-    pub held_back_workers: usize,
+    pub saturated_workers: usize,
     /// Open jobs that fill, and those of them that can no longer be in time.
-    pub fill_jobs: usize,
-    /// See `fill_jobs`.
-    pub late_fill_jobs: usize,
-    /// Processor time that runs of such late jobs use, in thousandths of a core; the rest of `fill_used` can still be
+    pub best_effort_jobs: usize,
+    /// See `best_effort_jobs`.
+    pub late_best_effort_jobs: usize,
+    /// Processor time that runs of such late jobs use, in thousandths of a core; the rest of `best_effort_usage` can still be
     /// in time.
-    pub late_fill_used: u64,
+    pub late_best_effort_usage: u64,
 }
 
 impl Planner {
@@ -70,34 +70,34 @@
     /// ```
     pub fn load(&self) -> PlannerLoad {
         let mut load = PlannerLoad { jobs: self.jobs.len(), ..PlannerLoad::default() };
-        load.waiting = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
-        let late = self.late_fill_jobs();
+        load.waiting_tasks = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
+        let late = self.late_best_effort_jobs();
         let open = self.jobs.values().filter(|entry| entry.end.is_none());
-        load.fill_jobs = open.filter(|entry| entry.fills()).count();
-        load.late_fill_jobs = late.len();
+        load.best_effort_jobs = open.filter(|entry| entry.fills()).count();
+        load.late_best_effort_jobs = late.len();
         for (_, worker) in self.inventory.iter() {
-            load.held_back_workers += usize::from(worker.holds_fills_back());
-            load.workers += usize::from(worker.is_open(self.now));
+            load.saturated_workers += usize::from(worker.holds_fills_back());
+            load.open_workers += usize::from(worker.is_open(self.now));
             load.serving_workers += usize::from(worker.is_serving());
             for (key, run) in &worker.assigned {
-                load.serving += usize::from(run.target_ms > 0);
-                load.filling += usize::from(run.fills);
-                load.slowed += usize::from(run.slow_since.is_some());
+                load.serving_runs += usize::from(run.target_ms > 0);
+                load.best_effort_runs += usize::from(run.fills);
+                load.throttled_runs += usize::from(run.slow_since.is_some());
                 if let Some(seen) = run.seen.as_ref().filter(|_| run.fills) {
-                    load.fill_wanted += run.millicores * u64::from(seen.pace_percent) / 100;
-                    load.fill_used += seen.usage;
+                    load.best_effort_demand += run.millicores * u64::from(seen.pace_percent) / 100;
+                    load.best_effort_usage += seen.usage;
                     if late.contains(key.0.job.as_str()) {
-                        load.late_fill_used += seen.usage;
+                        load.late_best_effort_usage += seen.usage;
                     }
                 }
-                load.others += usize::from(!run.fills && run.target_ms == 0);
+                load.other_runs += usize::from(!run.fills && run.target_ms == 0);
             }
         }
         load
     }
 
     /// Open jobs that fill and can no longer be in time.
-    fn late_fill_jobs(&self) -> HashSet<&str> {
+    fn late_best_effort_jobs(&self) -> HashSet<&str> {
         let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.fills());
         let late = open.filter(|(_, entry)| JobUrgency::of(entry, self.wall_ms).is_late());
         late.map(|(job, _)| job.as_str()).collect()
