--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -348,7 +348,7 @@
         } else if let Some(worker) = self.inventory.get_mut(instance) {
             worker.is_over = true;
             worker.status = None;
-            worker.heard = None;
+            worker.last_contact = None;
         }
         self.held_acks.remove(instance);
         self.stored_ends.remove(instance);
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -125,7 +125,7 @@
             worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
         }
         worker.status = Some(status.clone());
-        worker.heard = Some(self.now);
+        worker.last_contact = Some(self.now);
         worker.resync |= is_new_link;
     }
 
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -29,14 +29,14 @@
 /// One life of a runner.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// What it said of itself; nothing while its agent was not heard.
+    /// What it said of itself; nothing while its agent was not last_contact.
     pub status: Option<RunnerStatus>,
     /// What was given to it.
     pub assigned: BTreeMap<RunKey, AssignedRun>,
     /// When the leases of everything on it have surely expired, if nothing more is granted.
     pub lease_end: Instant,
-    /// When its agent was last heard.
-    pub heard: Option<Instant>,
+    /// When its agent was last last_contact.
+    pub last_contact: Option<Instant>,
     /// Until when it gets nothing because it refused for want of room.
     pub full_until: Option<Instant>,
     /// When tasks that fill were last given, taken or paced here, as far as this planner knows.
@@ -62,7 +62,7 @@
             status: None,
             assigned: BTreeMap::new(),
             lease_end,
-            heard: None,
+            last_contact: None,
             full_until: None,
             fills_changed: None,
             ended_fills: Vec::new(),
@@ -110,8 +110,9 @@
     /// assert!(!inventory.entry("i-1", Instant::now()).is_open(Instant::now()));
     /// ```
     pub fn is_open(&self, now: Instant) -> bool {
-        let is_heard =
-            self.heard.is_some_and(|heard| now.saturating_duration_since(heard) < SILENCE_LIMIT);
+        let is_heard = self.last_contact.is_some_and(|last_contact| {
+            now.saturating_duration_since(last_contact) < SILENCE_LIMIT
+        });
         let is_full = self.full_until.is_some_and(|until| now < until);
         let is_leaving = self.status.as_ref().is_none_or(|status| status.draining);
         is_heard && !is_full && !is_leaving && !self.resync
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -208,9 +208,9 @@
     /// ```
     pub fn expired(&self, now: Instant) -> Vec<InstanceId> {
         let is_expired = |entry: &(&InstanceId, &WorkerEntry)| {
-            let heard = entry.1.heard;
+            let last_contact = entry.1.last_contact;
             let is_silent =
-                heard.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_LIMIT);
+                last_contact.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_LIMIT);
             is_silent && now >= entry.1.lease_end
         };
         self.workers.iter().filter(is_expired).map(|(instance, _)| instance.clone()).collect()
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -163,7 +163,7 @@
             labels: vec![],
             draining: false,
         });
-        entry.heard = Some(now);
+        entry.last_contact = Some(now);
         entry.resync = false;
         for job in 0..jobs {
             let key = (format!("s{job}.0.0.0").parse().unwrap(), 1);
