--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -57,11 +57,11 @@
     pub(crate) consolidation: ConsolidationState,
     pub(crate) stored_ends: BTreeMap<InstanceId, u64>,
     /// When leases that earlier planners granted have surely expired.
-    pub(crate) inherited_end: Instant,
+    pub(crate) inherited_lease_end: Instant,
 }
 
 impl Planner {
-    /// A planner that has taken over; leases of planners before it last until `inherited_end` at most.
+    /// A planner that has taken over; leases of planners before it last until `inherited_lease_end` at most.
     ///
     /// ```
     /// use std::time::Instant;
@@ -69,9 +69,9 @@
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// assert!(planner.pending().is_empty());
     /// ```
-    pub fn new(inherited_end: Instant) -> Planner {
+    pub fn new(inherited_lease_end: Instant) -> Planner {
         Planner {
-            now: inherited_end,
+            now: inherited_lease_end,
             wall_ms: 0,
             last_order: 0,
             jobs: BTreeMap::new(),
@@ -89,7 +89,7 @@
             decisions: Vec::new(),
             consolidation: ConsolidationState::default(),
             stored_ends: BTreeMap::new(),
-            inherited_end,
+            inherited_lease_end,
         }
     }
 
@@ -115,7 +115,7 @@
     /// planner.on_grant("i-1", Instant::now());
     /// ```
     pub fn on_grant(&mut self, instance: &str, surely_expired: Instant) {
-        let worker = self.inventory.entry(instance, self.inherited_end);
+        let worker = self.inventory.entry(instance, self.inherited_lease_end);
         worker.lease_end = worker.lease_end.max(surely_expired);
     }
 
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -204,7 +204,13 @@
         for (name, attempt) in entry.progress.attempts(job) {
             let step = entry.step(&name).unwrap_or(&unknown);
             let key = (name, attempt.run);
-            self.inventory.assign(&attempt.worker, key.clone(), step, self.now, self.inherited_end);
+            self.inventory.assign(
+                &attempt.worker,
+                key.clone(),
+                step,
+                self.now,
+                self.inherited_lease_end,
+            );
             if let Some(worker) = self.inventory.get_mut(&attempt.worker)
                 && let Some(run) = worker.assigned.get_mut(&key)
             {
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -119,7 +119,7 @@
     }
 
     fn hear(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
-        let worker = self.inventory.entry(&status.instance, self.inherited_end);
+        let worker = self.inventory.entry(&status.instance, self.inherited_lease_end);
         if has_former && worker.status.is_none() {
             // Calls for a former life may have given the new one a lease that nobody knows of.
             worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -218,7 +218,13 @@
                 return 0;
             };
             // Held while the others are placed, so that they see the room that is left.
-            self.inventory.assign(&worker, (name.clone(), run), spec, self.now, self.inherited_end);
+            self.inventory.assign(
+                &worker,
+                (name.clone(), run),
+                spec,
+                self.now,
+                self.inherited_lease_end,
+            );
             given.push((worker, name));
         }
         for (worker, name) in given {
@@ -374,7 +380,7 @@
             failures: task.failures,
         });
         task.attempts.push(RunAttempt { run, worker: worker.clone() });
-        self.inventory.assign(&worker, key.clone(), spec, self.now, self.inherited_end);
+        self.inventory.assign(&worker, key.clone(), spec, self.now, self.inherited_lease_end);
         if self.task_suspicion.is_isolated(name) {
             self.isolate(&worker, &key);
         }
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -201,8 +201,8 @@
     let before = fleet.running();
     let (instance, key) = before[0].clone();
     fleet.end(&instance, &key, RunEnd::Done, "");
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet.report("i-2", true);
     fleet.round();
@@ -217,8 +217,8 @@
     let mut fleet = PlannedFleet::new(&["i-1"]);
     fleet.submit("a", job(vec![step(1, 500)]));
     fleet.plan();
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet.deliver();
     assert_matches!(fleet.running().as_slice(), [(_, (_, 1))]);
@@ -247,8 +247,8 @@
     fleet.round();
     let (lost, _) = fleet.running()[0].clone();
     fleet.runners.remove(&lost);
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     (0..95).for_each(|_| fleet.round());
     assert!(fleet.running().is_empty());
     (0..10).for_each(|_| fleet.round());
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -252,8 +252,8 @@
         StepSpec { long_running: true, target_ms: 50, image: "s".to_string(), ..step(1, 500) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet
 }
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -278,8 +278,8 @@
     }
 
     /// Another planner takes over with what is stored.
-    pub fn take_over(&mut self, inherited_end: Instant) {
-        let mut planner = Planner::new(inherited_end);
+    pub fn take_over(&mut self, inherited_lease_end: Instant) {
+        let mut planner = Planner::new(inherited_lease_end);
         planner.set_time(self.now(), self.wall_ms);
         for (job, record) in &self.records {
             planner.on_record(job, self.version, record.clone());
