--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -150,5 +150,5 @@
             ("late_fill_used", &load.late_best_effort_usage),
         ],
     );
-    log_event(Level::Info, "learned_pairs", &[("pairs", &planner.learned_pairs())]);
+    log_event(Level::Info, "learned_pairs", &[("pairs", &planner.learned_summary())]);
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -153,7 +153,7 @@
         }
         planner.set_time(clock::now(), self.shared.clock.wall_millis());
         if let Some(effects) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
-            planner.adopt_learned(decode(effects).unwrap_or_default());
+            planner.restore_learned(decode(effects).unwrap_or_default());
         }
         for row in &progress {
             if let Some(known) = decode(row) {
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -121,9 +121,9 @@
     /// use std::time::Instant;
     ///
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// planner.adopt_learned(Default::default());
+    /// planner.restore_learned(Default::default());
     /// ```
-    pub fn adopt_learned(&mut self, learned: LearnedEffects) {
+    pub fn restore_learned(&mut self, learned: LearnedEffects) {
         self.disturbance = DisturbanceModel::from_learned(learned, self.now);
     }
 
@@ -133,9 +133,9 @@
     /// use std::time::Instant;
     ///
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert_eq!(planner.learned_pairs(), "");
+    /// assert_eq!(planner.learned_summary(), "");
     /// ```
-    pub fn learned_pairs(&self) -> String {
+    pub fn learned_summary(&self) -> String {
         self.disturbance.summary()
     }
 }
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -51,7 +51,7 @@
 #[test]
 fn a_light_fill_is_placed_beside_what_is_at_its_target_and_a_heavy_one_is_not() {
     let mut fleet = PlannedFleet::new(&["i-1"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "light", 0.01), pair("s", "heavy", 0.2)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "light", 0.01), pair("s", "heavy", 0.2)]));
     fleet.submit("serving", job(vec![serving("s")]));
     serve(&mut fleet, TARGET_MS);
     fleet.submit("heavy", job(vec![filling("heavy")]));
@@ -65,7 +65,7 @@
 #[test]
 fn a_fill_goes_where_it_is_light_rather_than_where_there_is_least_load() {
     let mut fleet = PlannedFleet::new(&["i-1", "i-2"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "f", 0.01), pair("other", "f", 0.12)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "f", 0.01), pair("other", "f", 0.12)]));
     fleet.submit("a-serving", job(vec![serving("s")]));
     fleet.submit("b-serving", job(vec![serving("other")]));
     fleet.round();
@@ -88,7 +88,7 @@
 #[test]
 fn a_worker_whose_fills_are_slowed_gets_no_more_of_them() {
     let mut fleet = PlannedFleet::new(&["i-1"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "f", 0.02)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "f", 0.02)]));
     fleet.submit("serving", job(vec![serving("s")]));
     serve(&mut fleet, TARGET_MS);
     fleet.submit("first", job(vec![filling("f")]));
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -236,12 +236,12 @@
     let learned = fleet.planner.learned();
     assert_eq!(learned.pairs.len(), 1);
     assert_eq!(learned.least_tails.len(), 1);
-    let known = fleet.planner.learned_pairs();
+    let known = fleet.planner.learned_summary();
     let stored = serde_json::to_vec(&learned).unwrap();
     fleet.take_over(fleet.now());
-    assert_eq!(fleet.planner.learned_pairs(), "");
-    fleet.planner.adopt_learned(serde_json::from_slice(&stored).unwrap());
-    assert_eq!(fleet.planner.learned_pairs(), known);
+    assert_eq!(fleet.planner.learned_summary(), "");
+    fleet.planner.restore_learned(serde_json::from_slice(&stored).unwrap());
+    assert_eq!(fleet.planner.learned_summary(), known);
 }
 
 /// A fleet on which a task serves, and whose planner has just taken over; leases of the planner before last on for
