--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -118,7 +118,7 @@
             self.planner.on_committed(batch, 1);
         }
         for (instance, order) in self.planner.take_orders() {
-            self.planner.number_order(&instance, std::slice::from_ref(&order));
+            self.planner.assign_order_number(&instance, std::slice::from_ref(&order));
             if let NodeOrder::Start(start) = order {
                 let worker: usize = instance[2..].parse().expect("the name of a worker");
                 let run = PresentRun::ordered(start.traits.task, start.run);
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -243,7 +243,7 @@
             let span = grant_span(owned.proof, received);
             owned.planner.on_grant(&instance, surely_expired(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
-            call.seen = owned.planner.acked(&instance);
+            call.seen = owned.planner.last_acked_end(&instance);
         }
         call
     }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -327,7 +327,8 @@
             parcels.entry(instance).or_default().push(order);
         }
         for (instance, orders) in parcels {
-            let numbered = self.with_planner(|planner| planner.number_order(&instance, &orders));
+            let numbered =
+                self.with_planner(|planner| planner.assign_order_number(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
             };
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -75,7 +75,9 @@
     pub(super) fn on_stored(&mut self, purpose: WritePurpose, version: RowVersion) {
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
-            WritePurpose::Forget(jobs) => jobs.iter().for_each(|job| planner.on_forgotten(job)),
+            WritePurpose::Forget(jobs) => {
+                jobs.iter().for_each(|job| planner.on_record_removed(job))
+            }
             WritePurpose::Pulse => {}
         });
     }
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -206,9 +206,9 @@
     /// use std::time::Instant;
     ///
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert_eq!(planner.acked("i-1"), 0);
+    /// assert_eq!(planner.last_acked_end("i-1"), 0);
     /// ```
-    pub fn acked(&self, instance: &str) -> u64 {
+    pub fn last_acked_end(&self, instance: &str) -> u64 {
         self.stored_ends.get(instance).copied().unwrap_or(0)
     }
 
@@ -218,9 +218,9 @@
     /// use std::time::Instant;
     ///
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert_eq!(planner.number_order("i-1", &[]), None);
+    /// assert_eq!(planner.assign_order_number("i-1", &[]), None);
     /// ```
-    pub fn number_order(&mut self, instance: &str, orders: &[NodeOrder]) -> Option<u64> {
+    pub fn assign_order_number(&mut self, instance: &str, orders: &[NodeOrder]) -> Option<u64> {
         let worker = self.inventory.get_mut(instance)?;
         // Numbers rise over all workers: an agent counts them over the lives of its runner.
         self.last_order += 1;
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -186,9 +186,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::workflow::planner::Planner::new(Instant::now()).on_forgotten("a");
+    /// greengagearch::workflow::planner::Planner::new(Instant::now()).on_record_removed("a");
     /// ```
-    pub fn on_forgotten(&mut self, job: &str) {
+    pub fn on_record_removed(&mut self, job: &str) {
         self.ended.remove(job);
     }
 
--- a/standins/src/laboratory/shared_fleet.rs
+++ b/standins/src/laboratory/shared_fleet.rs
@@ -238,7 +238,7 @@
 
     fn deliver(&mut self) {
         for (instance, order) in self.planner.take_orders() {
-            let number = self.planner.number_order(&instance, std::slice::from_ref(&order));
+            let number = self.planner.assign_order_number(&instance, std::slice::from_ref(&order));
             let truth = match &order {
                 NodeOrder::Start(start) => self.truth(&start.traits.task),
                 _ => None,
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -54,9 +54,9 @@
     fleet.round();
     fleet.end_all(RunEnd::Done);
     fleet.report("i-1", false);
-    assert_eq!(fleet.planner.acked("i-1"), 0);
+    assert_eq!(fleet.planner.last_acked_end("i-1"), 0);
     fleet.store();
-    assert_eq!(fleet.planner.acked("i-1"), 1);
+    assert_eq!(fleet.planner.last_acked_end("i-1"), 1);
 }
 
 /// Seen on hunt-57d5-3 of bridgeway: numbers of orders began anew with a new life of the runner, while
@@ -83,7 +83,7 @@
     let orders = fleet.planner.take_orders();
     assert_eq!(orders.len(), 3, "what ran on the former life starts on the new one");
     for (instance, order) in &orders {
-        fleet.planner.number_order(instance, std::slice::from_ref(order));
+        fleet.planner.assign_order_number(instance, std::slice::from_ref(order));
     }
     // The agent reports before the orders have come.
     fleet.report("i-2", false);
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -182,7 +182,7 @@
     pub fn deliver(&mut self) -> Vec<(String, NodeOrder)> {
         let orders = self.planner.take_orders();
         for (instance, order) in &orders {
-            let number = self.planner.number_order(instance, std::slice::from_ref(order));
+            let number = self.planner.assign_order_number(instance, std::slice::from_ref(order));
             let Some(runner) = self.runners.get_mut(instance) else {
                 continue;
             };
--- a/tests/planning_world/events.rs
+++ b/tests/planning_world/events.rs
@@ -106,7 +106,7 @@
         for (instance, orders) in parcels {
             let agent: usize = instance.split('-').next().unwrap().parse().unwrap();
             let process = &mut self.planners[planner];
-            let Some(number) = process.planner.number_order(&instance, &orders) else {
+            let Some(number) = process.planner.assign_order_number(&instance, &orders) else {
                 continue;
             };
             let epoch = process.epoch;
@@ -210,7 +210,7 @@
                 process.planner.on_grant(&instance, surely_expired(now, span));
             }
             call.grant = Some(LeaseGrant { since, span });
-            call.seen = process.planner.acked(&instance);
+            call.seen = process.planner.last_acked_end(&instance);
             if self.missing == Missing::StoredBeforeSeen {
                 call.seen = ends.unwrap_or(0).max(call.seen);
             }
