--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -69,10 +69,16 @@
                 ("epoch", &epoch),
             ],
         ),
-        PlanDecision::Preempted { task, run, worker, by } => log_event(
+        PlanDecision::Preempted { task, run, worker, preemptor } => log_event(
             Level::Info,
             "task_displaced",
-            &[("task", task), ("run", run), ("worker", worker), ("by", by), ("epoch", &epoch)],
+            &[
+                ("task", task),
+                ("run", run),
+                ("worker", worker),
+                ("by", preemptor),
+                ("epoch", &epoch),
+            ],
         ),
         PlanDecision::JobEnded { job, end, age_ms, objective_ms } => log_event(
             Level::Info,
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -106,7 +106,7 @@
         /// The worker.
         worker: InstanceId,
         /// The task that needs the room.
-        by: TaskName,
+        preemptor: TaskName,
     },
     /// A job has come to its end.
     JobEnded {
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -50,7 +50,7 @@
                 task: key.0.clone(),
                 run: key.1,
                 worker: least.worker.clone(),
-                by: name.clone(),
+                preemptor: name.clone(),
             });
             self.stop_run(&least.worker, key);
         }
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -29,13 +29,13 @@
 /// One life of a runner.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// What it said of itself; nothing while its agent was not last_contact.
+    /// What it said of itself; nothing until its agent has reported.
     pub status: Option<RunnerStatus>,
     /// What was given to it.
     pub assigned: BTreeMap<RunKey, AssignedRun>,
     /// When the leases of everything on it have surely expired, if nothing more is granted.
     pub lease_end: Instant,
-    /// When its agent was last last_contact.
+    /// When its agent last reported.
     pub last_contact: Option<Instant>,
     /// Until when it gets nothing because it refused for want of room.
     pub full_until: Option<Instant>,
