--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -1,4 +1,4 @@
-//! Which worker gets a task of a step.
+//! Selection of a worker for a task.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,89 +12,91 @@
 use crate::workflow::worker_entry::WorkerEntry;
 use crate::workflow::worker_inventory::WorkerInventory;
 
-/// Least share of the processor time it asks for that a task that fills must find free, so that it is
-/// placed: below, it would hold memory and delay its neighbours' fills more than it gains.
-const LEAST_FILL: f64 = 0.5;
-/// Added to the cost of a worker off the preferred rack, in shares of its capacity: as much as the
-/// longest run there costs.
+/// Minimum share of its requested processor time that must be left for a best-effort task. With
+/// less it would occupy memory and delay the other best-effort tasks more than it gains.
+const MIN_BEST_EFFORT_SHARE: f64 = 0.5;
+/// Cost of a worker outside the preferred rack, as a share of its capacity; equals the cost of the
+/// longest run there.
 const OFF_RACK_COST: f64 = 0.5;
-/// Added to the cost of a worker on which nothing serves, for work that does not fill: more than any
+/// Cost of a worker without serving tasks, for tasks that are not best-effort; exceeds any
 /// difference in load.
 const NOT_SERVING_COST: f64 = 1.0;
-/// Taken off the cost of a worker on which the same image serves: a fill finds more workers beside which it is
-/// light when each holds few images that serve.
-const SAME_IMAGE_GAIN: f64 = 0.5;
-/// Cost of a tail at its target, in shares of a worker's load.
+/// Cost reduction for a worker on which the same image serves. With few serving images per worker,
+/// a best-effort task finds more workers where it interferes little.
+const SAME_IMAGE_DISCOUNT: f64 = 0.5;
+/// Cost of a tail latency at its target, as a share of the worker's load.
 const RISK_COST: f64 = 1.0;
-/// Cost of a load of one that a task itself adds: it goes where it is light, and leaves other workers to those that
-/// are light there.
-const OWN_COST: f64 = 3.0;
-/// Time since the last change of fills on a worker after which a pair that was never seen may be tried
-/// there, so that what it does is told apart.
-const EXPLORE_PAUSE: Duration = Duration::from_millis(1_000);
-/// Thousandths of a core that make up one unit of cost; larger than any worker, so that size only
-/// decides between workers that are equally free.
+/// Cost of each unit of load that the task itself adds. Tasks go where they interfere least and
+/// leave other workers to the tasks that interfere little there.
+const OWN_LOAD_COST: f64 = 3.0;
+/// Minimum time since the last change of best-effort runs on a worker before an unknown pair of
+/// images is tried there, so that its effect can be told from that of earlier changes.
+const EXPLORE_DELAY: Duration = Duration::from_millis(1_000);
+/// Thousandths of a core that make up one unit of cost. Larger than any worker, so that size
+/// decides only between equally free workers.
 const SIZE_UNIT: f64 = 1_000_000.0;
-/// Added to the cost of a worker that is being emptied, and taken off where room is kept for the task: more than all other
-/// costs together, since both were decided before.
-const DECIDED_COST: f64 = 10.0;
-/// Time after its newest assignment in which a worker is avoided by a suspect: its order is delivered by then.
-const FRESH_SPAN: Duration = Duration::from_millis(150);
-/// Added to the cost of a worker that has failed tasks of late.
-const FAILED_COST: f64 = 3.0;
+/// Cost of a worker that is being emptied, and cost reduction for a worker with a reservation for
+/// the task. Exceeds the sum of all other costs, since both reflect an earlier decision.
+const PRIOR_DECISION_COST: f64 = 10.0;
+/// Time after the newest assignment to a worker in which suspected tasks avoid it; the order is
+/// delivered by then.
+const RECENT_ASSIGNMENT_SPAN: Duration = Duration::from_millis(150);
+/// Cost of a worker on which the task has failed.
+const FAILED_BEFORE_COST: f64 = 3.0;
 
-/// What a task needs, and where it must not go.
+/// A task to place, with the restrictions on its worker.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
     /// The task.
     pub task: &'a TaskName,
-    /// Its step.
+    /// Step of the task.
     pub step: &'a StepSpec,
-    /// Its service.
+    /// Service whose workers may run the task.
     pub service: &'a str,
-    /// Workers on which it has failed or runs already.
-    pub avoid: &'a [InstanceId],
-    /// How far a task that fills may put tasks that serve at risk.
+    /// Workers on which the task has failed, which get a higher cost.
+    pub failed_on: &'a [InstanceId],
+    /// Accepted risk to serving tasks, for a best-effort task.
     pub risk: RiskLimit,
-    /// Whether only workers may take it for which there is a ticket.
+    /// Whether the worker needs a valid ticket of the advice service.
     pub needs_ticket: bool,
-    /// The rack that it must go to, if any.
+    /// Rack that the worker has to be on, if any.
     pub rack: Option<&'a str>,
-    /// Whether it is suspected to crash its workers.
+    /// Whether the task is suspected of crashing its workers.
     pub is_isolated: bool,
-    /// A worker that it must not go to, if any.
+    /// Worker that is excluded, if any.
     pub not_on: Option<&'a str>,
 }
 
-/// How far a task that fills may put the tasks that serve on its worker at risk.
+/// Risk to the serving tasks of a worker that is accepted when a best-effort task is placed there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RiskLimit {
-    /// Only where its image is known to be light beside theirs.
+    /// Only workers on which the image is known to interfere little with the serving images.
     Known,
-    /// Also where its image was never seen beside theirs, on one worker at a time.
+    /// Also workers on which an image pair is unknown, after a period without changes there.
     Explore,
-    /// Anywhere, because its job has waited long; the pace protects what serves.
+    /// Any worker, because the job has waited long; the agent's pace control protects serving
+    /// tasks.
     Any,
 }
 
-/// What a choice is made by.
+/// State of the planner that a placement is decided on.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementView<'a> {
-    /// The workers.
+    /// All workers.
     pub inventory: &'a WorkerInventory,
-    /// Workers that fail what they start.
+    /// Suspicion of workers on which tasks fail.
     pub suspicion: &'a WorkerSuspicion,
-    /// What images do to each other.
+    /// Known interference between images.
     pub disturbance: &'a DisturbanceModel,
-    /// What the advice service has said.
+    /// Tickets of the advice service.
     pub advice: &'a AdviceBook,
-    /// A worker that is being emptied of what serves.
+    /// Worker that is being emptied of serving tasks, if any.
     pub being_emptied: Option<&'a str>,
-    /// The time.
+    /// Current time.
     pub now: Instant,
 }
 
-/// The best worker for a task, if any has room.
+/// Returns the worker with the lowest cost that has capacity for a task, if any.
 ///
 /// ```
 /// use std::time::Instant;
@@ -116,7 +118,7 @@
 ///     task: &task,
 ///     step: &step,
 ///     service: "s",
-///     avoid: &[],
+///     failed_on: &[],
 ///     risk,
 ///     needs_ticket: false,
 ///     rack: None,
@@ -139,23 +141,23 @@
 pub fn choose(request: &PlacementRequest<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.inventory.iter() {
-        let room = worker.room_for(request.task, view.now);
-        let has_room = room.contains(&request.step.counted_room());
-        if !has_room || !fits_but_for_room(request, view, instance, worker) {
+        let room = worker.available_to(request.task, view.now);
+        let has_capacity = room.contains(&request.step.counted_room());
+        if !has_capacity || !is_eligible(request, view, instance, worker) {
             continue;
         }
         let Some(cost) = cost(request, view, instance, worker) else {
             continue;
         };
-        if best.is_none_or(|(least, _)| cost < least) {
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, instance));
         }
     }
     best.map(|(_, instance)| instance.clone())
 }
 
-/// Whether a worker may take a task, whether it has room or not.
-pub(crate) fn fits_but_for_room(
+/// Returns whether a worker may run a task, regardless of its free capacity.
+pub(crate) fn is_eligible(
     request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
     instance: &str,
@@ -172,27 +174,28 @@
         let ticket = || view.advice.ticket(&request.task.step_key(), instance, view.now);
         !request.needs_ticket || ticket().is_some()
     };
-    let is_below_bound =
-        || step.max_per_worker == 0 || worker.of_step(request.task) < step.max_per_worker;
-    // What starts beside a suspect would hide which of them crashed the worker, and be lost with it.
-    let is_shared = worker.isolated.as_ref().is_none_or(|key| is_gang_of(request, &key.0));
+    let is_below_limit =
+        || step.max_per_worker == 0 || worker.runs_of_step(request.task) < step.max_per_worker;
+    // A task that starts beside a suspected one would be lost in a crash and obscure its cause.
+    let is_available = worker.isolated.as_ref().is_none_or(|key| is_same_gang(request, &key.0));
     request.not_on != Some(instance)
-        && is_shared
+        && is_available
         && status.service == request.service
         && request.rack.is_none_or(|rack| status.rack() == rack)
         && worker.is_open(view.now)
         && is_trusted()
         && has_label()
         && has_ticket()
-        && is_below_bound()
+        && is_below_limit()
 }
 
-/// Whether a task is of the gang that needs a worker; members may share one.
-fn is_gang_of(request: &PlacementRequest<'_>, other: &TaskName) -> bool {
+/// Returns whether a task belongs to the gang that requests a worker; its members may share one.
+fn is_same_gang(request: &PlacementRequest<'_>, other: &TaskName) -> bool {
     request.step.gang && request.task.step_key() == other.step_key()
 }
 
-/// What it costs to put a task on a worker that has room; nothing when that is too great a risk for others.
+/// Cost of placing a task on a worker that has capacity; `None` if the risk to other tasks is too
+/// high.
 fn cost(
     request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
@@ -201,69 +204,80 @@
 ) -> Option<f64> {
     let status = worker.status.as_ref()?;
     let step = request.step;
-    let mut cost =
-        if step.fills { fill_cost(request, view, worker)? } else { packed_cost(request, worker) };
+    let mut cost = if step.fills {
+        best_effort_cost(request, view, worker)?
+    } else {
+        packing_cost(request, worker)
+    };
     if request.is_isolated {
-        // Where the least is lost if it crashes this worker as well, and no other run is as new, so that the crash names it.
-        let is_fresh = worker.newest().is_some_and(|at| view.now < at + FRESH_SPAN);
-        cost = worker.stake() / SIZE_UNIT + if is_fresh { DECIDED_COST } else { 0.0 };
+        // Prefers the worker where a crash would lose the least, and avoids other recent runs, so
+        // that a crash can be attributed to this task.
+        let is_recent =
+            worker.last_assigned_at().is_some_and(|at| view.now < at + RECENT_ASSIGNMENT_SPAN);
+        cost = worker.crash_loss() / SIZE_UNIT + if is_recent { PRIOR_DECISION_COST } else { 0.0 };
     }
     if !step.preferred_rack.is_empty() && !status.labels.contains(&step.preferred_rack) {
         cost += OFF_RACK_COST;
     }
-    if request.avoid.iter().any(|avoided| avoided == instance) {
-        cost += FAILED_COST;
+    if request.failed_on.iter().any(|avoided| avoided == instance) {
+        cost += FAILED_BEFORE_COST;
     }
     if step.long_running && view.being_emptied == Some(instance) {
-        cost += DECIDED_COST;
+        cost += PRIOR_DECISION_COST;
     }
     if worker.holds.is_for(request.task, view.now) {
-        cost -= DECIDED_COST;
+        cost -= PRIOR_DECISION_COST;
     }
     Some(cost)
 }
 
-/// Share of the guarded processor time that is left, so that the fullest worker is filled first. Work
-/// that serves is kept together, because tasks that fill are only let loose where nothing serves.
-fn packed_cost(request: &PlacementRequest<'_>, worker: &WorkerEntry) -> f64 {
+/// Share of the allocatable processor time that is free, so that the fullest worker is preferred.
+/// This keeps serving tasks together and leaves workers without them, where best-effort tasks are
+/// not throttled.
+fn packing_cost(request: &PlacementRequest<'_>, worker: &WorkerEntry) -> f64 {
     let capacity = worker.status.as_ref().map_or(0, |status| status.capacity.millicores);
-    let left = worker.free_room().millicores as f64 / capacity.max(1) as f64;
-    // Of workers on which nothing serves the largest is opened first, so that few have to be.
+    let left = worker.free_resources().millicores as f64 / capacity.max(1) as f64;
+    // Among workers without serving tasks the largest is preferred, so that fewer of them are
+    // needed.
     let size = capacity as f64 / SIZE_UNIT;
     let cost = if worker.is_serving() { left } else { left + NOT_SERVING_COST - size };
     let is_alike = request.step.target_ms > 0 && worker.serves_image(&request.step.image);
-    if is_alike { cost - SAME_IMAGE_GAIN } else { cost }
+    if is_alike { cost - SAME_IMAGE_DISCOUNT } else { cost }
 }
 
-/// Demand of fills against what is left to them, with this one, and the risk for what serves.
-fn fill_cost(
+/// Best-effort demand relative to the capacity left for it, including the new task, plus the
+/// interference with serving tasks. `None` if the worker is unsuitable.
+fn best_effort_cost(
     request: &PlacementRequest<'_>,
     view: &PlacementView<'_>,
     worker: &WorkerEntry,
 ) -> Option<f64> {
-    let room = worker.fill_room();
-    let wanted = request.step.room.millicores as f64;
-    let demand = worker.fill_demand() + worker.holds.filling(request.task, view.now);
+    let room = worker.best_effort_capacity();
+    let requested = request.step.room.millicores as f64;
+    let demand = worker.best_effort_demand() + worker.holds.filling(request.task, view.now);
     let is_alone = demand == 0.0 && room > 0.0;
-    if room - demand < wanted * LEAST_FILL && !is_alone && request.risk != RiskLimit::Any {
+    if room - demand < requested * MIN_BEST_EFFORT_SHARE
+        && !is_alone
+        && request.risk != RiskLimit::Any
+    {
         return None;
     }
-    let load = (demand + wanted) / room.max(1.0);
+    let load = (demand + requested) / room.max(1.0);
     if !worker.is_serving() {
         return Some(load);
     }
-    if worker.holds_fills_back() && request.risk != RiskLimit::Any {
+    if worker.is_saturated() && request.risk != RiskLimit::Any {
         return None;
     }
     let risk = view.disturbance.risk(worker, &request.step.image);
     let is_allowed = match request.risk {
         RiskLimit::Known => !risk.is_unseen && risk.is_low(),
         RiskLimit::Explore => {
-            let passed = |at: Instant| view.now.saturating_duration_since(at) > EXPLORE_PAUSE;
-            let is_calm = worker.fills_changed.is_none_or(passed);
-            (!risk.is_unseen && risk.is_low()) || (risk.is_unseen && is_calm)
+            let passed = |at: Instant| view.now.saturating_duration_since(at) > EXPLORE_DELAY;
+            let is_stable = worker.best_effort_changed.is_none_or(passed);
+            (!risk.is_unseen && risk.is_low()) || (risk.is_unseen && is_stable)
         }
         RiskLimit::Any => true,
     };
-    is_allowed.then_some(load + risk.pressure * RISK_COST + risk.own * OWN_COST)
+    is_allowed.then_some(load + risk.pressure * RISK_COST + risk.own * OWN_LOAD_COST)
 }
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -1,4 +1,4 @@
-//! What the planner has decided or come to believe, for the log.
+//! Decisions and findings of the planner, as recorded in its log and metrics.
 
 use crate::connection::node_protocol::RejectReason;
 use crate::connection::node_protocol::YoungRun;
@@ -12,166 +12,169 @@
 /// Why a task is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveReason {
-    /// It was held up for what serves beside it.
+    /// The agent throttled it to protect serving tasks.
     HeldUp,
     /// Its worker is leaving.
     Leaving,
-    /// Its worker is emptied of what serves.
+    /// Its worker is emptied of serving tasks.
     Emptied,
-    /// Others of its job serve elsewhere.
+    /// Consolidation: other tasks of its job, or many serving jobs, are on the new worker.
     Gathered,
 }
 
-/// One decision, or one change of what the planner believes.
+/// A decision of the planner, or a change in its view of a worker or task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanDecision {
-    /// A task was given to a worker.
+    /// A task was assigned to a worker.
     Assigned {
-        /// The task.
+        /// Assigned task.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that the run was assigned to.
         worker: InstanceId,
-        /// Time since its job was due, in milliseconds.
+        /// Time since the job was due, in milliseconds.
         age_ms: u64,
-        /// Failed attempts before.
+        /// Number of earlier failures of the task.
         failures: u32,
     },
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that the run was assigned to.
         worker: InstanceId,
-        /// How it ended.
+        /// How the run ended.
         end: RunEnd,
-        /// Time since it was given to the worker, in milliseconds.
+        /// Time since the run was assigned, in milliseconds.
         ran_ms: u64,
     },
-    /// A worker refused a run.
+    /// A worker rejected a run.
     RunRefused {
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that rejected it.
         worker: InstanceId,
-        /// Why.
+        /// Reason that the worker gave.
         reason: RejectReason,
-        /// Whether the look that brought the refusal shows the run all the same.
+        /// Whether the snapshot that reported the rejection shows the run all the same.
         shown: bool,
     },
-    /// A run is given up, because the looks of its worker do not show it.
+    /// A run was given up because the snapshots of its worker do not show it.
     RunAbsent {
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that the run was assigned to.
         worker: InstanceId,
     },
-    /// A run that was given to a former life of a runner is at work on the next one, which has carried out its start.
+    /// A run assigned to a previous runner instance is running on its successor, which carried out
+    /// the start order.
     RunAdopted {
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The life that it was given to.
+        /// Instance that the run was assigned to.
         from: InstanceId,
-        /// The life that it is on.
+        /// Instance that has the run now.
         worker: InstanceId,
     },
-    /// A run is stopped, to go on elsewhere, because it is held up where it is.
+    /// A run is stopped so that its task continues on another worker.
     Moved {
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that the run is on.
         worker: InstanceId,
-        /// The worker on which room is kept for it.
+        /// Worker on which capacity is reserved for the task.
         to: InstanceId,
-        /// Why.
+        /// Reason of the move.
         why: MoveReason,
     },
-    /// A run is stopped to make room for a task that goes before it.
+    /// A run is stopped to free resources for a task that takes precedence.
     Preempted {
-        /// The task of the run.
+        /// Task of the stopped run.
         task: TaskName,
-        /// The run.
+        /// Number of the stopped run.
         run: RunNumber,
-        /// The worker.
+        /// Worker that the run is on.
         worker: InstanceId,
-        /// The task that needs the room.
+        /// Task that gets the resources.
         preemptor: TaskName,
     },
-    /// A job has come to its end.
+    /// A job has ended.
     JobEnded {
-        /// The job.
+        /// Job that ended.
         job: JobId,
-        /// How.
+        /// How it ended.
         end: JobEnd,
-        /// Time since it was accepted, in milliseconds.
+        /// Time since the job was accepted, in milliseconds.
         age_ms: u64,
-        /// The time within which it should have ended, in milliseconds.
+        /// Time in which the job should have ended, in milliseconds.
         objective_ms: u64,
     },
-    /// A worker has failed so many tasks that it is only tried now and then.
+    /// So many tasks have failed on a worker that it gets only occasional trial runs.
     WorkerSuspected {
-        /// The worker.
+        /// Suspected worker.
         worker: InstanceId,
-        /// The task that failed last.
+        /// Task that failed last.
         task: TaskName,
     },
-    /// A suspected worker has ended a task as done and takes work as before.
+    /// A suspected worker has completed a task and gets runs as before.
     WorkerTrusted {
-        /// The worker.
+        /// Worker that is trusted again.
         worker: InstanceId,
-        /// The task.
+        /// Completed task.
         task: TaskName,
     },
-    /// A life of a runner has broken off.
+    /// A runner instance has crashed.
     WorkerCrashed {
-        /// The life.
+        /// Crashed instance.
         worker: InstanceId,
-        /// Its newest runs, the youngest first.
+        /// Runs that it had started shortly before, the most recent first.
         young: Vec<YoungRun>,
     },
-    /// A task that may have crashed its worker starts only where no other start follows.
+    /// A task is suspected of crashing its worker and starts only where no other task starts after
+    /// it.
     TaskIsolated {
-        /// The task.
+        /// Suspected task.
         task: TaskName,
-        /// Lives of workers that are held against it.
+        /// Number of crashed instances that count against the task.
         crashes: usize,
-        /// The worker that broke off last.
+        /// Worker that crashed last.
         worker: InstanceId,
     },
-    /// A run of a task has lived, and nothing is held against it any more.
+    /// A run of a suspected task has lasted long enough to rule the task out as the cause of
+    /// crashes.
     TaskCleared {
-        /// The task.
+        /// Cleared task.
         task: TaskName,
     },
-    /// A task has crashed worker after worker; its job can never be done.
+    /// A task has crashed so many workers that its job has failed.
     TaskGivenUp {
-        /// The task.
+        /// Task that was given up.
         task: TaskName,
-        /// The worker that broke off last.
+        /// Worker that crashed last.
         worker: InstanceId,
     },
-    /// Everything that a life of a runner had is given up.
+    /// All runs of a runner instance are given up.
     WorkerLost {
-        /// The life.
+        /// Lost instance.
         worker: InstanceId,
-        /// Runs that it had.
+        /// Number of its runs.
         runs: usize,
     },
 }
 
 impl PlanDecision {
-    /// The decision's kind, as a metric's label.
+    /// Label of this kind of decision in the metrics.
     ///
     /// ```
     /// use greengagearch::workflow::plan_decision::PlanDecision;
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -1,9 +1,10 @@
-//! The planner: keeps all jobs and workers, and decides what starts and stops where.
+//! State of the planner, which tracks all jobs and workers and decides which tasks start and stop
+//! where.
 //!
-//! Events come in through the `on_` functions; [`Planner::plan`] assigns tasks. What has to be stored
-//! first is taken out with [`Planner::take_batch`], and only after [`Planner::on_committed`] do the starts
-//! of the batch become orders. So whatever runs is known to the store, and no end is forgotten by a
-//! worker before the store holds it.
+//! Events arrive through the `on_*` methods, and [`Planner::plan`] assigns tasks to workers. Rows
+//! to be stored are taken with [`Planner::take_batch`]; the start orders of a batch are released
+//! only by [`Planner::on_committed`]. The store therefore knows each run before it starts, and a
+//! worker may discard the end of a run only after the store holds it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,17 +31,17 @@
 use crate::workflow::worker_inventory::RunKey;
 use crate::workflow::worker_inventory::WorkerInventory;
 
-/// An order and the life of the runner that it is for.
+/// An order and the runner instance that it is addressed to.
 pub type AddressedOrder = (InstanceId, NodeOrder);
 
-/// What the planner knows and has decided.
+/// All jobs and workers, and the orders, decisions and queries that wait to be taken.
 #[derive(Clone, Debug)]
 pub struct Planner {
-    /// The time at which the planner decides.
+    /// Current time, set by [`Planner::set_time`].
     pub(crate) now: Instant,
-    /// The same on the wall clock, in milliseconds since the Unix epoch.
+    /// Wall-clock time at `now`, in milliseconds since the Unix epoch.
     pub(crate) wall_ms: u64,
-    pub(crate) last_order: u64,
+    pub(crate) last_order_number: u64,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
     pub(crate) ended: BTreeMap<JobId, EndedJob>,
     pub(crate) inventory: WorkerInventory,
@@ -49,19 +50,20 @@
     pub(crate) disturbance: DisturbanceModel,
     pub(crate) advice: AdviceBook,
     pub(crate) questions: Vec<AdviceQuestion>,
-    pub(crate) dirty: ChangedJobs,
-    pub(crate) held_starts: BTreeMap<JobId, Vec<(InstanceId, RunKey)>>,
-    pub(crate) held_acks: BTreeMap<InstanceId, u64>,
+    pub(crate) changed_jobs: ChangedJobs,
+    pub(crate) pending_starts: BTreeMap<JobId, Vec<(InstanceId, RunKey)>>,
+    pub(crate) pending_acks: BTreeMap<InstanceId, u64>,
     pub(crate) outbox: Vec<AddressedOrder>,
     pub(crate) decisions: Vec<PlanDecision>,
     pub(crate) consolidation: ConsolidationState,
-    pub(crate) stored_ends: BTreeMap<InstanceId, u64>,
-    /// When leases that earlier planners granted have surely expired.
+    pub(crate) acked_ends: BTreeMap<InstanceId, u64>,
+    /// Time by which all leases granted by earlier planners have expired.
     pub(crate) inherited_lease_end: Instant,
 }
 
 impl Planner {
-    /// A planner that has taken over; leases of planners before it last until `inherited_lease_end` at most.
+    /// Creates a planner that takes over from an earlier one, whose leases have expired by
+    /// `inherited_lease_end`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -73,7 +75,7 @@
         Planner {
             now: inherited_lease_end,
             wall_ms: 0,
-            last_order: 0,
+            last_order_number: 0,
             jobs: BTreeMap::new(),
             ended: BTreeMap::new(),
             inventory: WorkerInventory::default(),
@@ -82,18 +84,18 @@
             disturbance: DisturbanceModel::default(),
             advice: AdviceBook::default(),
             questions: Vec::new(),
-            dirty: ChangedJobs::default(),
-            held_starts: BTreeMap::new(),
-            held_acks: BTreeMap::new(),
+            changed_jobs: ChangedJobs::default(),
+            pending_starts: BTreeMap::new(),
+            pending_acks: BTreeMap::new(),
             outbox: Vec::new(),
             decisions: Vec::new(),
             consolidation: ConsolidationState::default(),
-            stored_ends: BTreeMap::new(),
+            acked_ends: BTreeMap::new(),
             inherited_lease_end,
         }
     }
 
-    /// Sets the time at which the planner decides next.
+    /// Sets the current time and the wall-clock time that the next calls use.
     ///
     /// ```
     /// use std::time::Instant;
@@ -106,7 +108,7 @@
         self.wall_ms = wall_ms;
     }
 
-    /// Takes note of an extension of the leases on a worker.
+    /// Records that the leases on a worker were extended and may last until `surely_expired`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -119,7 +121,8 @@
         worker.lease_end = worker.lease_end.max(surely_expired);
     }
 
-    /// Opens occurrences that are due, gives up what silent workers had, and moves tasks that are held up.
+    /// Opens the occurrences that are due, gives up the runs of silent workers, and moves tasks
+    /// that are throttled, on leaving workers, or to be consolidated.
     ///
     /// ```
     /// use std::time::Instant;
@@ -130,9 +133,9 @@
     pub fn on_tick(&mut self) {
         let (now, wall_ms) = (self.now, self.wall_ms);
         for instance in self.inventory.expired(now) {
-            self.lose(&instance);
+            self.give_up_instance(&instance);
         }
-        self.move_held_up();
+        self.move_throttled();
         self.evacuate();
         self.consolidate();
         for entry in self.jobs.values_mut() {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// What was decided since the last call, for the log.
+    /// Returns the decisions made since the last call, for the log.
     ///
     /// ```
     /// use std::time::Instant;
@@ -160,7 +163,8 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Questions that the advice service has to be asked; each needs an answer.
+    /// Returns the queries for the advice service; each has to be answered by
+    /// [`Planner::on_advice`].
     ///
     /// ```
     /// use std::time::Instant;
@@ -172,7 +176,7 @@
         std::mem::take(&mut self.questions)
     }
 
-    /// Takes in an answer of the advice service, see [`AdviceBook::on_answer`].
+    /// Records a response of the advice service, see [`AdviceBook::on_answer`].
     ///
     /// ```
     /// use std::time::Instant;
@@ -188,7 +192,7 @@
         self.advice.on_answer(answer, asked_at);
     }
 
-    /// Orders that may leave now.
+    /// Returns the orders that may be sent now.
     ///
     /// ```
     /// use std::time::Instant;
@@ -200,7 +204,7 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Number of the last end of a worker that is stored, so that the worker may forget it.
+    /// Number of the worker's last run end that is stored, up to which the worker may discard ends.
     ///
     /// ```
     /// use std::time::Instant;
@@ -209,10 +213,11 @@
     /// assert_eq!(planner.last_acked_end("i-1"), 0);
     /// ```
     pub fn last_acked_end(&self, instance: &str) -> u64 {
-        self.stored_ends.get(instance).copied().unwrap_or(0)
+        self.acked_ends.get(instance).copied().unwrap_or(0)
     }
 
-    /// Numbers an order for a worker and remembers which run it starts.
+    /// Assigns the next number to an order message for a worker and records it with the runs that
+    /// the message starts. Returns `None` for an unknown worker.
     ///
     /// ```
     /// use std::time::Instant;
@@ -222,9 +227,10 @@
     /// ```
     pub fn assign_order_number(&mut self, instance: &str, orders: &[NodeOrder]) -> Option<u64> {
         let worker = self.inventory.get_mut(instance)?;
-        // Numbers rise over all workers: an agent counts them over the lives of its runner.
-        self.last_order += 1;
-        let number = self.last_order;
+        // The numbers rise over all workers, since an agent compares them across the instances of
+        // its runner.
+        self.last_order_number += 1;
+        let number = self.last_order_number;
         for order in orders {
             if let NodeOrder::Start(start) = order {
                 let key = (start.traits.task.clone(), start.run);
@@ -236,7 +242,7 @@
         Some(number)
     }
 
-    /// Takes a run off its worker and its job.
+    /// Removes a run from its worker and records its end in its job.
     pub(crate) fn end_run(&mut self, instance: &str, key: &RunKey, end: RunEnd, checkpoint: &str) {
         let released = self.inventory.release(instance, key, self.now);
         if let Some(run) = &released {
@@ -261,17 +267,18 @@
         if !entry.progress.on_end(&key.0, key.1, end, checkpoint, &step) {
             return;
         }
-        self.dirty.insert(key.0.job.clone());
-        let has_copies =
+        self.changed_jobs.insert(key.0.job.clone());
+        let has_other_runs =
             || entry.progress.task(&key.0).is_some_and(|task| !task.attempts.is_empty());
-        let stops_copies = step.speculative || step.gang || (!step.long_running && has_copies());
-        if end == RunEnd::Done && stops_copies {
-            self.stop_copies(&key.0, step.gang);
+        let stops_others =
+            step.speculative || step.gang || (!step.long_running && has_other_runs());
+        if end == RunEnd::Done && stops_others {
+            self.stop_remaining_runs(&key.0, step.gang);
         }
-        self.settle(&key.0.job);
+        self.update_completion(&key.0.job);
     }
 
-    /// Orders a run to stop; a run whose start has not left yet is just taken back.
+    /// Orders a run to stop. A run whose start order has not been sent is withdrawn instead.
     pub(crate) fn stop_run(&mut self, instance: &str, key: RunKey) {
         let Some(worker) = self.inventory.get_mut(instance) else {
             return;
@@ -290,7 +297,7 @@
             && let Some(task) = entry.progress.task_mut(&key.0)
         {
             task.attempts.retain(|attempt| attempt.run != key.1);
-            self.dirty.insert(key.0.job);
+            self.changed_jobs.insert(key.0.job);
         }
     }
 
@@ -307,7 +314,7 @@
         })
     }
 
-    /// The order that starts a run.
+    /// Builds the order that starts a run.
     pub(crate) fn start_order(&self, instance: &str, key: &RunKey) -> Option<StartOrder> {
         let entry = self.jobs.get(&key.0.job)?;
         let task = entry.progress.task(&key.0)?;
@@ -321,21 +328,22 @@
         })
     }
 
-    /// Gives up everything on a life of a runner that has surely ended.
-    pub(crate) fn lose(&mut self, instance: &str) {
-        self.lose_settled(instance, &[]);
+    /// Gives up all runs of a runner instance that has ended or whose leases have expired.
+    pub(crate) fn give_up_instance(&mut self, instance: &str) {
+        self.give_up_settled_runs(instance, &[]);
     }
 
-    /// The same but for runs that the next life of the runner may have begun, or may yet: those keep their place until that life has
-    /// shown what it runs, or the leases have expired.
-    pub(crate) fn lose_settled(&mut self, instance: &str, unsettled: &[RunKey]) {
+    /// Gives up the runs of an ended runner instance except the `unsettled` ones, which the
+    /// successor instance may have started or may still start. Those stay assigned until the
+    /// successor reports its runs or the leases expire.
+    pub(crate) fn give_up_settled_runs(&mut self, instance: &str, unsettled: &[RunKey]) {
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
         let keys = worker.assigned.keys().cloned();
         let (kept, lost): (Vec<RunKey>, Vec<RunKey>) =
             keys.partition(|key| unsettled.contains(key));
-        if !worker.is_over || !lost.is_empty() {
+        if !worker.has_ended || !lost.is_empty() {
             let worker = instance.to_string();
             self.decisions.push(PlanDecision::WorkerLost { worker, runs: lost.len() });
         }
@@ -344,20 +352,20 @@
             self.end_run(instance, &key, RunEnd::Lost, "");
         }
         if kept.is_empty() {
-            self.inventory.forget(instance);
+            self.inventory.remove(instance);
         } else if let Some(worker) = self.inventory.get_mut(instance) {
-            worker.is_over = true;
+            worker.has_ended = true;
             worker.status = None;
             worker.last_contact = None;
         }
-        self.held_acks.remove(instance);
-        self.stored_ends.remove(instance);
+        self.pending_acks.remove(instance);
+        self.acked_ends.remove(instance);
         if let Some(task) = given_up {
-            self.give_up(task, instance);
+            self.give_up_task(task, instance);
         }
     }
 
-    /// The batch that has to be stored next, if there is anything.
+    /// Returns the next batch of rows to store, if any row has changed.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -1,4 +1,5 @@
-//! What the planner stores in one transaction, and what it does when that has succeeded or not.
+//! Batches of rows that the planner stores in one transaction, and the handling of a commit or a
+//! conflict.
 
 use std::collections::BTreeMap;
 
@@ -14,68 +15,69 @@
 use crate::workflow::progress::spec_digest;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Most rows that change in one batch: each is a condition and a change, and the owner's row, the pulse and what was learned come
-/// to them, within the store's limit of 100 entries a transaction.
-const MOST_ROWS: usize = 48;
-/// Most tasks whose state is written in one batch: at 120 bytes each, with worker and checkpoint, they stay within the store's limit of
-/// 1 MB a transaction.
-const MOST_TASKS: usize = 6_000;
+/// Maximum number of job rows in a batch. Each row takes a check and a write, and the ownership
+/// row, the pulse row and the row of learned interference are added, within the store's limit of
+/// 100 entries in a transaction.
+const MAX_ROWS: usize = 48;
+/// Maximum number of tasks whose state is written in a batch. At 120 bytes each, with worker and
+/// checkpoint, they stay within the store's limit of 1 MB for a transaction.
+const MAX_TASKS: usize = 6_000;
 
-/// One row that a batch writes, under the condition that it has the version that is named.
+/// A row to write, on condition that its current version is the given one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanWrite {
-    /// The progress of a job; nothing to remove its row.
+    /// Progress of a job; `None` removes the row.
     Progress(JobId, RowVersion, Option<JobProgress>),
-    /// The end of a job.
+    /// End of a job.
     End(JobId, RowVersion, JobRecord),
 }
 
-/// What is stored at once.
+/// Rows stored in one transaction, with the orders and acknowledgements that depend on them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanBatch {
-    /// The rows.
+    /// Rows to write.
     pub writes: Vec<PlanWrite>,
-    /// Starts that become orders when the rows are stored.
+    /// Runs whose start orders are sent once the rows are stored.
     pub starts: Vec<(InstanceId, RunKey)>,
-    /// Ends that workers may forget when the rows are stored.
+    /// For each worker, the number of the last run end that it may discard once the rows are
+    /// stored.
     pub acks: BTreeMap<InstanceId, u64>,
 }
 
 impl PlanBatch {
-    /// Takes what has changed out of the planner.
+    /// Collects changed jobs up to the limits of a transaction.
     pub(crate) fn take(planner: &mut Planner) -> Option<PlanBatch> {
         let mut batch = PlanBatch::default();
         let mut tasks = 0;
-        while let Some(job) = planner.dirty.first().cloned() {
+        while let Some(job) = planner.changed_jobs.first().cloned() {
             if let Some(entry) = planner.jobs.get(&job) {
                 let writes = writes(&job, entry, planner.wall_ms);
                 tasks += entry.progress.task_count();
                 let is_first = batch.writes.is_empty();
-                if !is_first
-                    && (batch.writes.len() + writes.len() > MOST_ROWS || tasks > MOST_TASKS)
+                if !is_first && (batch.writes.len() + writes.len() > MAX_ROWS || tasks > MAX_TASKS)
                 {
                     break;
                 }
                 batch.writes.extend(writes);
-                batch.starts.extend(planner.held_starts.remove(&job).unwrap_or_default());
+                batch.starts.extend(planner.pending_starts.remove(&job).unwrap_or_default());
             }
-            planner.dirty.remove(&job);
+            planner.changed_jobs.remove(&job);
         }
-        if planner.dirty.is_empty() {
-            // Everything that the ends have changed is in this batch or stored already.
-            batch.acks = std::mem::take(&mut planner.held_acks);
+        if planner.changed_jobs.is_empty() {
+            // All changes caused by the reported run ends are in this batch or stored already.
+            batch.acks = std::mem::take(&mut planner.pending_acks);
         }
         if !batch.writes.is_empty() {
             return Some(batch);
         }
-        planner.stored_ends.extend(batch.acks);
+        planner.acked_ends.extend(batch.acks);
         None
     }
 }
 
 fn writes(job: &str, entry: &JobEntry, wall_ms: u64) -> Vec<PlanWrite> {
     let mut writes = Vec::new();
-    if !entry.is_over() {
+    if !entry.is_finished() {
         let progress = entry.progress.clone();
         writes.push(PlanWrite::Progress(job.to_string(), entry.progress_version, Some(progress)));
     } else if entry.progress_version > 0 {
@@ -90,7 +92,7 @@
 }
 
 impl Planner {
-    /// Takes note that a batch is stored under a version: its starts become orders.
+    /// Records that a batch was stored with the given row version, and releases its start orders.
     ///
     /// ```
     /// use std::time::Instant;
@@ -107,22 +109,22 @@
                     if let Some(entry) = self.jobs.get_mut(&job) {
                         entry.progress_version = if progress.is_some() { version } else { 0 };
                     }
-                    self.forget_if_over(&job);
+                    self.remove_if_finished(&job);
                 }
                 PlanWrite::End(job, _, record) => {
                     self.on_record(&job, version, record);
-                    self.forget_if_over(&job);
+                    self.remove_if_finished(&job);
                 }
             }
         }
         for (instance, key) in batch.starts {
-            self.release_start(instance, &key);
+            self.send_start(instance, &key);
         }
-        self.stored_ends.extend(batch.acks);
+        self.acked_ends.extend(batch.acks);
     }
 
-    /// Takes note that a batch was refused, because rows had changed. Those that are given are the
-    /// newest; the batch's jobs are stored anew.
+    /// Handles a batch that the store rejected because rows had changed. `newest` holds the current
+    /// rows; the jobs of the batch are written again.
     ///
     /// ```
     /// use std::time::Instant;
@@ -135,32 +137,33 @@
     pub fn on_conflict(&mut self, batch: PlanBatch, newest: Vec<(JobId, RowVersion, JobRecord)>) {
         for write in &batch.writes {
             let (PlanWrite::Progress(job, _, _) | PlanWrite::End(job, _, _)) = write;
-            self.dirty.insert(job.clone());
+            self.changed_jobs.insert(job.clone());
         }
         for (instance, key) in batch.starts {
             let job = key.0.job.clone();
-            self.held_starts.entry(job).or_default().push((instance, key));
+            self.pending_starts.entry(job).or_default().push((instance, key));
         }
         for (instance, number) in batch.acks {
-            let held = self.held_acks.entry(instance).or_default();
-            *held = number.max(*held);
+            let pending = self.pending_acks.entry(instance).or_default();
+            *pending = number.max(*pending);
         }
         for (job, version, record) in newest {
             self.on_record(&job, version, record);
         }
     }
 
-    fn release_start(&mut self, instance: InstanceId, key: &RunKey) {
-        let is_wanted = self
+    fn send_start(&mut self, instance: InstanceId, key: &RunKey) {
+        let is_pending = self
             .inventory
             .get(&instance)
             .and_then(|worker| worker.assigned.get(key))
             .is_some_and(|run| run.order.is_none());
-        if !is_wanted {
+        if !is_pending {
             return;
         }
         if let Some(order) = self.start_order(&instance, key) {
-            // Until it has its number the order counts as sent, so that it is stopped, not taken back.
+            // The order counts as sent before it has its number, so that a stop sends a stop order
+            // instead of withdrawing the run.
             if let Some(worker) = self.inventory.get_mut(&instance)
                 && let Some(run) = worker.assigned.get_mut(key)
             {
@@ -171,17 +174,17 @@
         }
     }
 
-    fn forget_if_over(&mut self, job: &str) {
-        let is_over = self.jobs.get(job).is_some_and(|entry| {
-            entry.is_over() && entry.end_stored && entry.progress_version == 0
+    fn remove_if_finished(&mut self, job: &str) {
+        let is_finished = self.jobs.get(job).is_some_and(|entry| {
+            entry.is_finished() && entry.end_stored && entry.progress_version == 0
         });
-        if is_over && !self.dirty.contains(job) {
+        if is_finished && !self.changed_jobs.contains(job) {
             self.jobs.remove(job);
             self.advice.forget(job);
         }
     }
 
-    /// Forgets an ended job whose row was removed.
+    /// Removes an ended job whose row was deleted from the store.
     ///
     /// ```
     /// use std::time::Instant;
@@ -192,7 +195,7 @@
         self.ended.remove(job);
     }
 
-    /// The end of a job, if it has ended.
+    /// Returns how and when a job ended, if it has ended.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -1,12 +1,14 @@
-//! Brings tasks that serve together again when jobs that have ended, or hosts that were away, have left them
-//! scattered, so that tasks that fill get room.
+//! Consolidation of serving tasks that ended jobs or host outages have left scattered, so that
+//! workers have capacity for best-effort tasks.
 //!
-//! Beside the tasks of several jobs that serve, a worker bears one or two fills, since each adds to the load of all
-//! of them; beside one job it bears six, and where nothing serves as many as it has processors for. So a worker with
-//! few tasks that serve is being emptied where others have room, and single tasks go to where their job is or where many
-//! jobs serve already. A move costs users of a service about a second of one of its tasks; it is made only while
-//! fills wait or are slowed, only while all tasks of its step are at work, one of a step at a time, and into a place
-//! that is kept for it. Bulk work gains room by it, and what serves is disturbed less.
+//! A worker with serving tasks of several jobs can run one or two best-effort tasks, since each
+//! adds to the load of all of them. Beside one serving job it can run six, and without serving
+//! tasks as many as it has cores for. Therefore a worker with few serving tasks is emptied when
+//! others have capacity for them, and single tasks move to workers that already run their job or
+//! many serving jobs. A move makes one task of a service unavailable for about a second. So moves
+//! are made only while best-effort tasks wait or are throttled, only while all tasks of the step
+//! are working, one task of a step at a time, and into reserved capacity. Consolidation gives
+//! best-effort work more capacity and disturbs serving tasks less.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,49 +16,52 @@
 
 use crate::ids::InstanceId;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::placement::fits_but_for_room;
+use crate::workflow::placement::is_eligible;
 use crate::workflow::plan_decision::MoveReason;
 use crate::workflow::planner::Planner;
 use crate::workflow::serving_layout::ServingLayout;
-use crate::workflow::serving_layout::lasting_room;
+use crate::workflow::serving_layout::long_term_free;
 use crate::workflow::serving_layout::serving_runs;
 use crate::workflow::spec::RoomAmount;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Time between two looks at the layout: a move takes longer than that.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// Tasks that are moved to empty one worker at most.
-const MOST_MOVES: usize = 4;
-/// Fills that wait or are slowed from which on moves are worth it: what a freed worker takes in at once.
-const LEAST_DEMAND: usize = 6;
-/// Age of a run before it is moved: its users have had four seconds for the one that a move costs.
-const LEAST_AGE: Duration = Duration::from_secs(4);
-/// Time after which a worker that could not be emptied is given up.
-const EMPTIED_WITHIN: Duration = Duration::from_secs(6);
-/// Fills more that a single move has to make room for.
-const LEAST_GAIN: f64 = 1.0;
-/// Progress that a task that lasts shows when it is at work, in percent.
-const AT_WORK: u32 = 100;
-/// Workers, and tasks, that are tried in one look at most, so that its time grows with the workers and no faster.
-const TRIED_AT_ONCE: usize = 32;
-
-/// What the planner is at in bringing tasks that serve together.
+/// Minimum time between two evaluations of the layout; a move takes longer than that.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of tasks moved to empty one worker.
+const MAX_MOVES: usize = 4;
+/// Number of waiting or throttled best-effort tasks that justifies a move: as many as an emptied
+/// worker can start at once.
+const MIN_UNMET_DEMAND: usize = 6;
+/// Minimum age of a run that is moved. A move costs about one second of service, so it follows at
+/// least four seconds of service.
+const MIN_RUN_AGE: Duration = Duration::from_secs(4);
+/// Time after which an attempt to empty a worker is abandoned.
+const EMPTYING_TIMEOUT: Duration = Duration::from_secs(6);
+/// Number of additional best-effort tasks that a single move has to allow.
+const MIN_GAIN: f64 = 1.0;
+/// Progress, in percent, that a long-running task reports while it is working.
+const WORKING_PERCENT: u32 = 100;
+/// Maximum number of workers or tasks examined in one evaluation, which keeps its cost linear in
+/// the number of workers.
+const MAX_CANDIDATES: usize = 32;
+
+/// Progress of the consolidation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsolidationState {
-    /// The worker that is being emptied and until when that is tried.
+    /// The worker that is being emptied, and the time until which this is attempted.
     being_emptied: Option<(InstanceId, Instant)>,
-    looked: Option<Instant>,
+    last_evaluated: Option<Instant>,
 }
 
 impl ConsolidationState {
-    /// The worker that is being emptied of what serves.
+    /// The worker that is being emptied of serving tasks.
     pub(crate) fn being_emptied(&self) -> Option<&str> {
         self.being_emptied.as_ref().map(|(worker, _)| worker.as_str())
     }
 }
 
-/// A task that is to be moved.
+/// A serving task to move, and the additional best-effort tasks that the move allows.
 struct ServingMove {
     gain: f64,
     from: InstanceId,
@@ -65,13 +70,13 @@
 }
 
 impl Planner {
-    /// Looks whether moves of tasks that serve make room for fills, and begins some.
+    /// Starts moves of serving tasks if these allow more best-effort tasks to run.
     pub(crate) fn consolidate(&mut self) {
-        let is_recent = |at: Instant| self.now.saturating_duration_since(at) < LOOK_PAUSE;
-        if self.consolidation.looked.is_some_and(is_recent) {
+        let is_recent = |at: Instant| self.now.saturating_duration_since(at) < EVALUATION_INTERVAL;
+        if self.consolidation.last_evaluated.is_some_and(is_recent) {
             return;
         }
-        self.consolidation.looked = Some(self.now);
+        self.consolidation.last_evaluated = Some(self.now);
         if let Some((worker, until)) = self.consolidation.being_emptied.clone() {
             let runs = self.serving_keys(&worker);
             if runs.is_empty() || self.now >= until {
@@ -81,19 +86,19 @@
             }
             return;
         }
-        if self.unmet_fills() < LEAST_DEMAND {
+        if self.unmet_best_effort() < MIN_UNMET_DEMAND {
             return;
         }
         let layout = ServingLayout::of(&self.inventory, self.now);
         if let Some(worker) = self.worker_to_empty(&layout) {
-            self.consolidation.being_emptied = Some((worker, self.now + EMPTIED_WITHIN));
+            self.consolidation.being_emptied = Some((worker, self.now + EMPTYING_TIMEOUT));
         } else if let Some(best) = self.best_move(&layout) {
             self.move_run(&best.from, best.key, &best.to, MoveReason::Gathered);
         }
     }
 
-    /// Fills that are ready and wait, or are slowed.
-    fn unmet_fills(&self) -> usize {
+    /// Number of best-effort tasks that are ready but not running, or are throttled.
+    fn unmet_best_effort(&self) -> usize {
         let unmet: usize =
             self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.fills)).sum();
         let runs = self.inventory.iter().flat_map(|(_, worker)| worker.assigned.values());
@@ -105,99 +110,105 @@
         worker.into_iter().flat_map(serving_runs).map(|(key, _)| key.clone()).collect()
     }
 
-    /// The worker with the fewest tasks that serve, if others have room for all of them.
+    /// Returns the worker with the fewest serving tasks, if other workers have capacity for all of
+    /// them.
     fn worker_to_empty(&self, layout: &ServingLayout) -> Option<InstanceId> {
-        let mut few: Vec<(usize, u64, &InstanceId)> = Vec::new();
+        let mut candidates: Vec<(usize, u64, &InstanceId)> = Vec::new();
         for (instance, worker) in &layout.workers {
             let serving = worker.serving();
-            if (1..=MOST_MOVES).contains(&serving) {
-                few.push((serving, u64::MAX - worker.lasting_room.millicores, instance));
+            if (1..=MAX_MOVES).contains(&serving) {
+                candidates.push((serving, u64::MAX - worker.long_term_free.millicores, instance));
             }
         }
-        few.sort();
-        let mut tried = few.into_iter().take(TRIED_AT_ONCE).map(|(_, _, instance)| instance);
-        tried.find(|instance| self.has_room_elsewhere(layout, instance)).cloned()
+        candidates.sort();
+        let mut examined =
+            candidates.into_iter().take(MAX_CANDIDATES).map(|(_, _, instance)| instance);
+        examined.find(|instance| self.fits_elsewhere(layout, instance)).cloned()
     }
 
-    /// Whether all tasks that serve on a worker have served for a while and find room beside others that serve.
-    fn has_room_elsewhere(&self, layout: &ServingLayout, instance: &str) -> bool {
+    /// Returns whether all serving tasks of a worker have run for the minimum age and fit on other
+    /// workers with serving tasks.
+    fn fits_elsewhere(&self, layout: &ServingLayout, instance: &str) -> bool {
         let others = layout
             .workers
             .iter()
             .filter(|(other, worker)| other.as_str() != instance && worker.serving() > 0);
-        let mut rooms: BTreeMap<&InstanceId, RoomAmount> =
-            others.map(|(other, worker)| (other, worker.lasting_room)).collect();
+        let mut free: BTreeMap<&InstanceId, RoomAmount> =
+            others.map(|(other, worker)| (other, worker.long_term_free)).collect();
         let Some(worker) = self.inventory.get(instance) else {
             return false;
         };
         let view = self.placement_view();
         serving_runs(worker).all(|(key, run)| {
             let Some(request) =
-                self.move_request(&key.0, instance).filter(|_| self.is_settled(run))
+                self.move_request(&key.0, instance).filter(|_| self.is_movable(run))
             else {
                 return false;
             };
-            let fitting = rooms.iter_mut().filter(|(other, room)| {
-                let fits = |entry| fits_but_for_room(&request, &view, other, entry);
-                room.contains(&run.counted) && self.inventory.get(other).is_some_and(fits)
+            let fitting = free.iter_mut().filter(|(other, available)| {
+                let fits = |entry| is_eligible(&request, &view, other, entry);
+                available.contains(&run.counted) && self.inventory.get(other).is_some_and(fits)
             });
-            let Some((_, room)) = fitting.min_by_key(|(_, room)| room.millicores) else {
+            let Some((_, available)) = fitting.min_by_key(|(_, available)| available.millicores)
+            else {
                 return false;
             };
-            *room = room.minus(&run.counted);
+            *available = available.minus(&run.counted);
             true
         })
     }
 
-    /// Moves the tasks whose siblings are all at work, each when there is room for it now.
+    /// Moves the tasks whose steps are working completely, each as soon as another worker has
+    /// capacity.
     fn continue_emptying(&mut self, from: &str, runs: Vec<RunKey>) {
         for key in runs {
-            if !self.is_step_at_work(&key.0) {
+            if !self.is_step_working(&key.0) {
                 continue;
             }
-            if let Some(to) = self.fullest_place(&key.0, from) {
+            if let Some(to) = self.fullest_destination(&key.0, from) {
                 self.move_run(from, key, &to, MoveReason::Emptied);
             }
         }
     }
 
-    /// The fullest worker beside whose tasks that serve there is room for another one now.
-    fn fullest_place(&self, name: &TaskName, from: &str) -> Option<InstanceId> {
+    /// Returns the fullest worker with serving tasks that currently has capacity for another one.
+    fn fullest_destination(&self, name: &TaskName, from: &str) -> Option<InstanceId> {
         let request = self.move_request(name, from)?;
         let view = self.placement_view();
-        let wanted = request.step.counted_room();
+        let requested = request.step.counted_room();
         let fitting = self.inventory.iter().filter(|(instance, worker)| {
             worker.is_serving()
-                && worker.room_for(name, self.now).contains(&wanted)
-                && fits_but_for_room(&request, &view, instance, worker)
+                && worker.available_to(name, self.now).contains(&requested)
+                && is_eligible(&request, &view, instance, worker)
         });
-        let fullest = fitting.min_by_key(|(_, worker)| lasting_room(worker).millicores);
+        let fullest = fitting.min_by_key(|(_, worker)| long_term_free(worker).millicores);
         fullest.map(|(instance, _)| instance.clone())
     }
 
-    /// The single move that makes room for the most fills.
+    /// Returns the single move that allows the most additional best-effort tasks.
     fn best_move(&self, layout: &ServingLayout) -> Option<ServingMove> {
-        let mut single: Vec<(f64, &InstanceId, &RunKey, &AssignedRun)> = Vec::new();
+        let mut candidates: Vec<(f64, &InstanceId, &RunKey, &AssignedRun)> = Vec::new();
         for (from, worker) in &layout.workers {
             for (key, run) in self.inventory.get(from).into_iter().flat_map(serving_runs) {
-                let gained = worker.gain_if_removed(&key.0.job);
-                if gained >= LEAST_GAIN && self.is_settled(run) {
-                    single.push((gained, from, key, run));
+                let gain = worker.gain_if_removed(&key.0.job);
+                if gain >= MIN_GAIN && self.is_movable(run) {
+                    candidates.push((gain, from, key, run));
                 }
             }
         }
-        single.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let movable = single.into_iter().filter(|(_, _, key, _)| self.is_step_at_work(&key.0));
-        let each = movable.take(TRIED_AT_ONCE).filter_map(|(gained, from, key, run)| {
-            let (lost, to) = self.cheapest_place(layout, from, key, run)?;
-            Some(ServingMove { gain: gained - lost, from: from.clone(), key: key.clone(), to })
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let movable = candidates.into_iter().filter(|(_, _, key, _)| self.is_step_working(&key.0));
+        let each = movable.take(MAX_CANDIDATES).filter_map(|(gain, from, key, run)| {
+            let (loss, to) = self.cheapest_destination(layout, from, key, run)?;
+            Some(ServingMove { gain: gain - loss, from: from.clone(), key: key.clone(), to })
         });
         let best = each.max_by(|a, b| a.gain.total_cmp(&b.gain));
-        best.filter(|best| best.gain >= LEAST_GAIN)
+        best.filter(|best| best.gain >= MIN_GAIN)
     }
 
-    /// The worker on which a task costs the fewest fills their room, and how many.
-    fn cheapest_place(
+    /// Returns the worker where adding the task displaces the fewest best-effort tasks, with their
+    /// number.
+    fn cheapest_destination(
         &self,
         layout: &ServingLayout,
         from: &str,
@@ -208,27 +219,28 @@
         let view = self.placement_view();
         let mut best: Option<(f64, &InstanceId)> = None;
         for (to, worker) in layout.workers.iter().filter(|(_, worker)| worker.serving() > 0) {
-            let lost = worker.loss_if_added(&key.0.job);
-            if best.is_some_and(|(least, _)| lost >= least) {
+            let loss = worker.loss_if_added(&key.0.job);
+            if best.is_some_and(|(lowest, _)| loss >= lowest) {
                 continue;
             }
             let Some(entry) = self.inventory.get(to) else {
                 continue;
             };
-            let has_room = entry.room_for(&key.0, self.now).contains(&run.counted);
-            if has_room && fits_but_for_room(&request, &view, to, entry) {
-                best = Some((lost, to));
+            let has_capacity = entry.available_to(&key.0, self.now).contains(&run.counted);
+            if has_capacity && is_eligible(&request, &view, to, entry) {
+                best = Some((loss, to));
             }
         }
-        best.map(|(lost, to)| (lost, to.clone()))
+        best.map(|(loss, to)| (loss, to.clone()))
     }
 
-    fn is_settled(&self, run: &AssignedRun) -> bool {
-        !run.stopping && self.now.saturating_duration_since(run.since) >= LEAST_AGE
+    fn is_movable(&self, run: &AssignedRun) -> bool {
+        !run.stopping && self.now.saturating_duration_since(run.since) >= MIN_RUN_AGE
     }
 
-    /// Whether all tasks of a step run, are at work and are not about to be stopped.
-    fn is_step_at_work(&self, name: &TaskName) -> bool {
+    /// Returns whether each task of a step has one run, which is working and has not been ordered
+    /// to stop.
+    fn is_step_working(&self, name: &TaskName) -> bool {
         let Some(entry) = self.jobs.get(&name.job).filter(|entry| entry.end.is_none()) else {
             return false;
         };
@@ -245,7 +257,7 @@
             let seen =
                 worker.and_then(|worker| worker.assigned.get(&key)).filter(|run| !run.stopping);
             let seen = seen.and_then(|run| run.seen.as_ref());
-            seen.is_some_and(|seen| seen.progress_percent >= AT_WORK)
+            seen.is_some_and(|seen| seen.progress_percent >= WORKING_PERCENT)
         })
     }
 }
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -1,4 +1,4 @@
-//! What the planner makes of workers that break off: which task is isolated, cleared or given up.
+//! Handling of worker crashes: which tasks are isolated, cleared or given up because of them.
 
 use std::time::Duration;
 
@@ -12,44 +12,46 @@
 use crate::workflow::task_suspicion::CrashedRun;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Tasks of a job whose crashes are kept in its row at most, so that the row stays within the store's limit.
-const KEPT_TASKS: usize = 64;
+/// Maximum number of tasks of a job whose crashes are kept in its row, so that the row stays within
+/// the size limit of the store.
+const MAX_CRASHED_TASKS: usize = 64;
 
 impl Planner {
-    /// Takes in that a life has broken off; later reports tell of it again. Its runs are given up afterwards. Gives a task that
-    /// is to be given up with its job.
+    /// Records the crash of a runner instance, which later reports repeat; only the first has an
+    /// effect. The caller gives up the runs of the instance afterwards. Returns the task to give up
+    /// together with its job, if there is one.
     pub(crate) fn on_crash(&mut self, crash: &RunnerCrash) -> Option<TaskName> {
-        let worker = self.inventory.get(&crash.instance).filter(|worker| !worker.is_over)?;
-        let is_ours = |task: &TaskName, run| worker.assigned.contains_key(&(task.clone(), run));
-        let ours = crash.young.iter().filter(|young| is_ours(&young.task, young.run));
-        let young = ours.map(|run| CrashedRun {
+        let worker = self.inventory.get(&crash.instance).filter(|worker| !worker.has_ended)?;
+        let is_assigned = |task: &TaskName, run| worker.assigned.contains_key(&(task.clone(), run));
+        let assigned = crash.young.iter().filter(|young| is_assigned(&young.task, young.run));
+        let young = assigned.map(|run| CrashedRun {
             task: run.task.clone(),
             age: run.age,
             lived: run.lived,
             is_certain: run.is_certain,
         });
         let young: Vec<CrashedRun> = young.collect();
-        let (worker, told) = (crash.instance.clone(), crash.young.clone());
-        self.decisions.push(PlanDecision::WorkerCrashed { worker, young: told });
-        self.suspect(&crash.instance, &young)
+        let (worker, reported) = (crash.instance.clone(), crash.young.clone());
+        self.decisions.push(PlanDecision::WorkerCrashed { worker, young: reported });
+        self.record_crash(&crash.instance, &young)
     }
 
-    /// Holds a loss that no agent explains against the isolated task on the worker: an agent that ends with its runner cannot
-    /// tell what had begun there.
+    /// Attributes a loss that no agent explained to the isolated task on the worker, since an agent
+    /// that ends together with its runner cannot report which runs had started.
     pub(crate) fn on_unexplained_loss(&mut self, instance: &str) -> Option<TaskName> {
-        let worker = self.inventory.get(instance).filter(|worker| !worker.is_over)?;
+        let worker = self.inventory.get(instance).filter(|worker| !worker.has_ended)?;
         let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
         let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
-        let is_told = self.task_suspicion.crashes(&task).iter().any(|one| one.life == instance);
-        if is_told || !self.task_suspicion.is_isolated(&task) {
+        let is_recorded = self.task_suspicion.crashes(&task).iter().any(|one| one.life == instance);
+        if is_recorded || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
         let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_since.is_some();
         let (age, lived) = (YOUNG_SPAN, Duration::ZERO);
-        self.suspect(instance, &[CrashedRun { task, age, lived, is_certain }])
+        self.record_crash(instance, &[CrashedRun { task, age, lived, is_certain }])
     }
 
-    fn suspect(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
+    fn record_crash(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
         let verdict = self.task_suspicion.on_crash(life, young, self.now);
         for task in verdict.isolated.clone() {
             let crashes = self.task_suspicion.crashes(&task).len();
@@ -57,19 +59,20 @@
             self.decisions.push(PlanDecision::TaskIsolated { task, crashes, worker });
         }
         let young = young.iter().map(|run| &run.task);
-        young.chain(&verdict.explained).for_each(|task| self.keep_crashes(task));
+        young.chain(&verdict.explained).for_each(|task| self.store_crashes(task));
         verdict.given_up
     }
 
-    /// Keeps with the task's row what is held against it, so that a successor knows.
-    fn keep_crashes(&mut self, name: &TaskName) {
+    /// Copies the crashes of a task into the row of its job, so that a successor planner knows
+    /// them.
+    fn store_crashes(&mut self, name: &TaskName) {
         let crashes = self.task_suspicion.crashes(name);
         let is_isolated = self.task_suspicion.is_isolated(name);
         let Some(entry) = self.jobs.get_mut(&name.job) else {
             return;
         };
         let is_new = entry.progress.task(name).is_some_and(|task| task.crashes.is_empty());
-        if is_new && entry.progress.crashed_tasks(&name.job).len() >= KEPT_TASKS {
+        if is_new && entry.progress.crashed_tasks(&name.job).len() >= MAX_CRASHED_TASKS {
             return;
         }
         if let Some(task) = entry.progress.task_mut(name)
@@ -77,19 +80,19 @@
         {
             task.crashes = crashes.to_vec();
             task.isolated = is_isolated;
-            self.dirty.insert(name.job.clone());
+            self.changed_jobs.insert(name.job.clone());
         }
     }
 
-    /// Ends the job of a task that crashes its workers, since it can never be done.
-    pub(crate) fn give_up(&mut self, task: TaskName, worker: &str) {
+    /// Ends the job of a task that keeps crashing its workers and therefore cannot complete.
+    pub(crate) fn give_up_task(&mut self, task: TaskName, worker: &str) {
         let job = task.job.clone();
         self.decisions.push(PlanDecision::TaskGivenUp { task, worker: worker.to_string() });
-        self.close(&job, JobEnd::Failed);
+        self.end_job(&job, JobEnd::Failed);
     }
 
-    /// Clears tasks whose runs on a worker have outlived those that crashed.
-    pub(crate) fn clear_survivors(&mut self, instance: &str) {
+    /// Clears the tasks whose runs on a worker have lasted longer than their crashed runs.
+    pub(crate) fn clear_surviving_tasks(&mut self, instance: &str) {
         if self.task_suspicion.is_empty() {
             return;
         }
@@ -108,15 +111,16 @@
         cleared.iter().for_each(|task| self.clear_task(task));
     }
 
-    /// Drops what is held against a task.
+    /// Removes the crashes recorded against a task.
     pub(crate) fn clear_task(&mut self, task: &TaskName) {
         if self.task_suspicion.clear(task) {
             self.decisions.push(PlanDecision::TaskCleared { task: task.clone() });
-            self.keep_crashes(task);
+            self.store_crashes(task);
         }
     }
 
-    /// Starts isolated tasks before all others, so that nothing else is given to their workers in the same round.
+    /// Starts isolated tasks before all others, so that no other task is assigned to their workers
+    /// in the same round. Returns the number of tasks started.
     pub(crate) fn start_isolated(&mut self) -> usize {
         let mut started = 0;
         for job in self.task_suspicion.isolated_jobs() {
@@ -124,13 +128,14 @@
                 if !self.may_isolate() {
                     return started;
                 }
-                started += self.start_suspect(&name);
+                started += self.start_isolated_task(&name);
             }
         }
         started
     }
 
-    /// Isolated tasks of a job that could start; gangs start as a whole, with their job's turn.
+    /// Returns the isolated tasks of a job that can start. Gangs are left out, since they start as
+    /// a whole with their job.
     fn isolated_tasks(&self, job: &JobId) -> Vec<TaskName> {
         let mut found = Vec::new();
         let entry = self.jobs.get(job).filter(|entry| entry.end.is_none());
@@ -147,7 +152,7 @@
         found
     }
 
-    fn start_suspect(&mut self, name: &TaskName) -> usize {
+    fn start_isolated_task(&mut self, name: &TaskName) -> usize {
         let step = self.jobs.get(&name.job).and_then(|entry| entry.step(name)).cloned();
         let Some(step) = step else {
             return 0;
@@ -160,7 +165,7 @@
         1
     }
 
-    /// Keeps other starts away from a worker that is given a suspect.
+    /// Marks a worker as running a suspected task, which keeps other tasks from starting there.
     pub(crate) fn isolate(&mut self, worker: &str, key: &RunKey) {
         self.task_suspicion.on_isolated(self.now);
         if let Some(worker) = self.inventory.get_mut(worker) {
@@ -168,14 +173,14 @@
         }
     }
 
-    /// Whether one more isolated task may start now.
+    /// Returns whether another isolated task may start now.
     pub(crate) fn may_isolate(&self) -> bool {
         let open = self.inventory.iter().filter(|(_, worker)| worker.is_open(self.now));
-        let (mut workers, mut isolating) = (0, 0);
+        let (mut workers, mut isolated) = (0, 0);
         for (_, worker) in open {
             workers += 1;
-            isolating += usize::from(worker.isolated.is_some());
+            isolated += usize::from(worker.isolated.is_some());
         }
-        self.task_suspicion.may_isolate(workers, isolating, self.now)
+        self.task_suspicion.may_isolate(workers, isolated, self.now)
     }
 }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that the planner keeps: their rows, how they come to an end, and what is told of them.
+//! Jobs that the planner tracks: loading of their rows, their completion, and their status.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,45 +18,46 @@
 use crate::workflow::spec::WorkflowSpec;
 use crate::workflow::task_name::TaskName;
 
-/// A job that is worked on.
+/// A job that has not ended, or whose end is not stored yet.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// What was submitted.
+    /// Specification of the job as it was accepted.
     pub spec: WorkflowSpec,
     /// Version of the job's row.
     pub record_version: RowVersion,
-    /// How far it has come.
+    /// State of the job's tasks.
     pub progress: JobProgress,
-    /// Version of the row of its progress; zero when there is none.
+    /// Version of the row that holds the progress; zero if there is no such row.
     pub progress_version: RowVersion,
-    /// The end that was decided.
+    /// How the job has ended, once that is decided.
     pub end: Option<JobEnd>,
     /// Whether the end is stored.
     pub end_stored: bool,
-    /// Workers on which a task has failed, by occurrence, step and position.
+    /// Workers on which a task has failed, by occurrence, step and index of the task.
     pub failed_on: HashMap<(u32, u32, u32), Vec<InstanceId>>,
-    /// The next occurrence to open.
+    /// Number of the next occurrence to open.
     pub next_occurrence: u32,
-    /// When a run of it last started or ended, in milliseconds since the Unix epoch.
+    /// When a run of the job last started or ended, in milliseconds since the Unix epoch.
     pub last_run_ms: u64,
-    /// When others were last stopped to make room for it, in milliseconds since the Unix epoch.
+    /// When runs of other jobs were last preempted for this job, in milliseconds since the Unix
+    /// epoch.
     pub preempted_ms: u64,
-    /// What is known of how long its tasks take.
+    /// Estimates of how long the job's tasks take.
     pub forecast: JobForecast,
-    /// What is left of it; nothing when that has to be worked out anew.
+    /// Work that remains; `None` if it has to be computed again.
     pub outlook: Option<JobOutlook>,
 }
 
 impl JobEntry {
-    /// Tasks of the steps in question whose turn has come and that do not run; none of a job that has ended.
-    pub(crate) fn waiting_tasks(&self, is_asked: impl Fn(&StepSpec) -> bool) -> usize {
+    /// Number of tasks in the matching steps that are ready but not running; zero for an ended job.
+    pub(crate) fn waiting_tasks(&self, matches: impl Fn(&StepSpec) -> bool) -> usize {
         if self.end.is_some() {
             return 0;
         }
         let mut waiting = 0;
         for (occurrence, steps) in &self.progress.open {
             for (tasks, step) in steps.iter().zip(&self.spec.steps) {
-                if is_asked(step) && self.progress.is_ready(*occurrence, step) {
+                if matches(step) && self.progress.is_ready(*occurrence, step) {
                     let idle = tasks.iter().filter(|task| !task.done && task.attempts.is_empty());
                     waiting += idle.count();
                 }
@@ -65,7 +66,7 @@
         waiting
     }
 
-    /// Whether it takes what others leave.
+    /// Whether any step consists of best-effort tasks.
     pub(crate) fn fills(&self) -> bool {
         self.spec.steps.iter().any(|step| step.fills)
     }
@@ -87,12 +88,12 @@
         }
     }
 
-    /// The step of a task.
+    /// The step that a task belongs to.
     pub(crate) fn step(&self, name: &TaskName) -> Option<&StepSpec> {
         self.spec.steps.get(name.step as usize)
     }
 
-    /// What is left of it, as of the last look at all jobs.
+    /// Work that remains, as of the last planning round.
     pub(crate) fn outlook(&self) -> JobOutlook {
         self.outlook.unwrap_or_else(|| JobOutlook::of(self))
     }
@@ -101,25 +102,25 @@
         self.spec.steps.iter().map(|step| step.count).collect()
     }
 
-    /// Whether nothing is left to do but to write the end and forget the job.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Whether the job has ended and no run of it is left, so that only its end has to be stored.
+    pub(crate) fn is_finished(&self) -> bool {
         self.end.is_some() && self.progress.attempts("").is_empty()
     }
 }
 
-/// A job that has ended, kept for callers that ask.
+/// An ended job, kept to answer status requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedJob {
     /// How it ended.
     pub end: JobEnd,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it ended, in milliseconds since the Unix epoch.
     pub ended_ms: u64,
     /// Version of its row.
     pub version: RowVersion,
 }
 
 impl Planner {
-    /// Takes in the row of a job, new or changed. Rows older than what is known say nothing.
+    /// Processes a new or changed row of a job. Rows older than the known version are ignored.
     ///
     /// ```
     /// use std::time::Instant;
@@ -143,8 +144,8 @@
                 if self.ended.get(job).is_some_and(|ended| ended.version >= version) {
                     return;
                 }
-                let made = || JobEntry::new(spec, version);
-                let entry = self.jobs.entry(job.to_string()).or_insert_with(made);
+                let create = || JobEntry::new(spec, version);
+                let entry = self.jobs.entry(job.to_string()).or_insert_with(create);
                 if version < entry.record_version || entry.end_stored {
                     return;
                 }
@@ -155,7 +156,7 @@
                     entry.next_occurrence = 1;
                 }
                 if cancelled {
-                    self.close(job, JobEnd::Cancelled);
+                    self.end_job(job, JobEnd::Cancelled);
                 }
             }
         }
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Takes in the row of a job's progress after a takeover. The job's own row comes first; a job that has
-    /// ended needs its spec no more, only its runs.
+    /// Loads the progress row of a job after a takeover; the job's own row has to be loaded before.
+    /// For an ended job only the runs matter, so its specification may be missing.
     ///
     /// ```
     /// use std::time::Instant;
@@ -214,21 +215,22 @@
             if let Some(worker) = self.inventory.get_mut(&attempt.worker)
                 && let Some(run) = worker.assigned.get_mut(&key)
             {
-                // The planner before may have sent the order; the first look will tell.
+                // The previous planner may have sent the order; the first snapshot shows whether it
+                // did.
                 run.order = Some(0);
                 if self.task_suspicion.is_isolated(&key.0) {
                     worker.isolated.get_or_insert(key);
                 }
             }
         }
-        if entry.is_over() {
-            self.dirty.insert(job.to_string());
+        if entry.is_finished() {
+            self.changed_jobs.insert(job.to_string());
         }
-        self.settle(job);
+        self.update_completion(job);
     }
 
-    /// Closes occurrences and decides whether the job has ended.
-    pub(crate) fn settle(&mut self, job: &str) {
+    /// Closes completed occurrences and ends the job if it is complete or has failed.
+    pub(crate) fn update_completion(&mut self, job: &str) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
@@ -242,15 +244,15 @@
             }
         }
         if entry.progress.most_failures() >= entry.spec.policy.max_attempts {
-            self.close(job, JobEnd::Failed);
+            self.end_job(job, JobEnd::Failed);
         } else if entry.next_occurrence >= entry.spec.occurrences() && entry.progress.is_all_done()
         {
-            self.close(job, JobEnd::Completed);
+            self.end_job(job, JobEnd::Completed);
         }
     }
 
-    /// Ends a job and stops what still runs of it.
-    pub(crate) fn close(&mut self, job: &str, end: JobEnd) {
+    /// Ends a job and stops its runs.
+    pub(crate) fn end_job(&mut self, job: &str, end: JobEnd) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
@@ -266,14 +268,14 @@
             age_ms: self.wall_ms.saturating_sub(entry.spec.accepted_ms),
             objective_ms: JobOutlook::of(entry).objective_ms,
         });
-        self.dirty.insert(job.to_string());
+        self.changed_jobs.insert(job.to_string());
         for (name, attempt) in entry.progress.attempts(job) {
             self.stop_run(&attempt.worker, (name, attempt.run));
         }
     }
 
-    /// Stops what still runs of a task, or of its whole step, that is done.
-    pub(crate) fn stop_copies(&mut self, name: &TaskName, whole_step: bool) {
+    /// Stops the remaining runs of a completed task, or of its whole step.
+    pub(crate) fn stop_remaining_runs(&mut self, name: &TaskName, whole_step: bool) {
         let Some(entry) = self.jobs.get(&name.job) else {
             return;
         };
@@ -288,7 +290,7 @@
         }
     }
 
-    /// The state of a job; nothing when it is not known here.
+    /// Returns the state of a job; `None` if this planner does not know the job.
     ///
     /// ```
     /// use std::time::Instant;
@@ -304,7 +306,8 @@
         Some(if entry.progress.begun { JobStatus::Running } else { JobStatus::Queued })
     }
 
-    /// Removes ended jobs whose states nobody has to know any more.
+    /// Returns the ended jobs whose status has been kept longer than `kept_for`, with the versions
+    /// of their rows.
     ///
     /// ```
     /// use std::time::Duration;
@@ -313,9 +316,10 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// assert!(planner.expired_records(Duration::ZERO).is_empty());
     /// ```
-    pub fn expired_records(&self, kept_for: Duration) -> Vec<(JobId, RowVersion)> {
-        let kept_ms = u64::try_from(kept_for.as_millis()).unwrap_or(u64::MAX);
-        let is_expired = |ended: &EndedJob| self.wall_ms.saturating_sub(ended.ended_ms) > kept_ms;
+    pub fn expired_records(&self, retention: Duration) -> Vec<(JobId, RowVersion)> {
+        let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
+        let is_expired =
+            |ended: &EndedJob| self.wall_ms.saturating_sub(ended.ended_ms) > retention_ms;
         let expired = self.ended.iter().filter(|(_, ended)| is_expired(ended));
         expired.map(|(job, ended)| (job.clone(), ended.version)).collect()
     }
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -1,4 +1,4 @@
-//! Numbers of what the planner has in hand, for the pulse and the log.
+//! Counters of the planner's jobs, runs and workers, for the pulse row and the log.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -9,42 +9,43 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::urgency::JobUrgency;
 
-/// Numbers of what a planner has in hand.
+/// Counters of the planner's jobs, runs and workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlannerLoad {
-    /// Jobs that are not forgotten.
+    /// Jobs that the planner tracks.
     pub jobs: usize,
-    /// Tasks whose turn has come and that do not run.
+    /// Tasks that are ready but not running.
     pub waiting_tasks: usize,
-    /// Runs that serve.
+    /// Runs of serving tasks.
     pub serving_runs: usize,
-    /// Runs that fill.
+    /// Runs of best-effort tasks.
     pub best_effort_runs: usize,
-    /// Runs that fill and are held up.
+    /// Runs of best-effort tasks that are throttled.
     pub throttled_runs: usize,
-    /// Processor time that runs that fill would use at their present pace, in thousandths of a core.
+    /// Processor time that best-effort runs would use at their current pace, in thousandths of a
+    /// core.
     pub best_effort_demand: u64,
-    /// Processor time that they use, in thousandths of a core.
+    /// Processor time that best-effort runs use, in thousandths of a core.
     pub best_effort_usage: u64,
-    /// Other runs.
+    /// Runs that are neither serving nor best-effort.
     pub other_runs: usize,
-    /// Workers that take new work.
+    /// Workers that accept new runs.
     pub open_workers: usize,
-    /// Workers on which something serves.
+    /// Workers with serving tasks.
     pub serving_workers: usize,
-    /// Workers that get no more fills, because those that they have are slowed.
+    /// Workers that get no further best-effort tasks, because those that they run are throttled.
     pub saturated_workers: usize,
-    /// Open jobs that fill, and those of them that can no longer be in time.
+    /// Best-effort jobs that have not ended.
     pub best_effort_jobs: usize,
-    /// See `best_effort_jobs`.
+    /// Best-effort jobs that have not ended and can no longer meet their objective.
     pub late_best_effort_jobs: usize,
-    /// Processor time that runs of such late jobs use, in thousandths of a core; the rest of `best_effort_usage` can still be
-    /// in time.
+    /// Processor time that runs of late best-effort jobs use, in thousandths of a core. The rest of
+    /// `best_effort_usage` belongs to jobs that can still meet their objective.
     pub late_best_effort_usage: u64,
 }
 
 impl Planner {
-    /// Jobs of each queue of which no task has started.
+    /// Number of jobs of each queue that have not started any task.
     ///
     /// ```
     /// use std::time::Instant;
@@ -60,7 +61,7 @@
         counts
     }
 
-    /// What waits and what runs, for the log.
+    /// Returns the current counters, for the log.
     ///
     /// ```
     /// use std::time::Instant;
@@ -76,7 +77,7 @@
         load.best_effort_jobs = open.filter(|entry| entry.fills()).count();
         load.late_best_effort_jobs = late.len();
         for (_, worker) in self.inventory.iter() {
-            load.saturated_workers += usize::from(worker.holds_fills_back());
+            load.saturated_workers += usize::from(worker.is_saturated());
             load.open_workers += usize::from(worker.is_open(self.now));
             load.serving_workers += usize::from(worker.is_serving());
             for (key, run) in &worker.assigned {
@@ -96,14 +97,14 @@
         load
     }
 
-    /// Open jobs that fill and can no longer be in time.
+    /// Best-effort jobs that have not ended and can no longer meet their objective.
     fn late_best_effort_jobs(&self) -> HashSet<&str> {
         let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.fills());
         let late = open.filter(|(_, entry)| JobUrgency::of(entry, self.wall_ms).is_late());
         late.map(|(job, _)| job.as_str()).collect()
     }
 
-    /// What a successor should know of images.
+    /// Returns the learned interference between images, which a successor planner restores.
     ///
     /// ```
     /// use std::time::Instant;
@@ -115,7 +116,7 @@
         self.disturbance.learned()
     }
 
-    /// Takes over what a predecessor has learned of images.
+    /// Restores the interference between images that an earlier planner has learned.
     ///
     /// ```
     /// use std::time::Instant;
@@ -127,7 +128,7 @@
         self.disturbance = DisturbanceModel::from_learned(learned, self.now);
     }
 
-    /// What was learned of images that disturb each other, for the log.
+    /// Summarizes the learned interference between images, for the log.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -1,5 +1,5 @@
-//! Moves tasks: fills that are held up because they disturb, and what can go on elsewhere from workers that
-//! are leaving.
+//! Moves of tasks to other workers: throttled best-effort tasks, and tasks on leaving workers that
+//! can continue elsewhere.
 
 use std::time::Duration;
 
@@ -13,49 +13,51 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Time at a slow pace after which a task is moved: longer than a short burst of load takes.
-const HELD_UP_FOR: Duration = Duration::from_millis(1_000);
-/// Age up to which a task that saves nothing may be moved; little work is lost.
-const UNSAVED_AGE: Duration = Duration::from_millis(700);
-/// Progress in percent from which on a task is left to end on a leaving worker.
-const NEARLY_DONE: u32 = 60;
-/// Tasks that are moved in one look at most, so that places are chosen one after another.
-const MOVES_AT_ONCE: usize = 3;
-/// Time for which a place is kept: the longest stop that platforms allow, its way and the start.
-const HOLD_SPAN: Duration = Duration::from_millis(2_500);
+/// Time at a reduced pace after which a task is moved; longer than a short load peak lasts.
+const MIN_THROTTLED_TIME: Duration = Duration::from_millis(1_000);
+/// Maximum age at which a task without checkpoints is moved, since little work is lost.
+const MAX_AGE_WITHOUT_CHECKPOINT: Duration = Duration::from_millis(700);
+/// Progress, in percent, from which a task on a leaving worker is left to complete there.
+const NEARLY_DONE_PERCENT: u32 = 60;
+/// Maximum number of tasks moved in one tick, so that each destination is chosen with the earlier
+/// moves in view.
+const MAX_MOVES_PER_TICK: usize = 3;
+/// Lifetime of a reservation: covers the longest stop that platforms allow, the message delays and
+/// the start.
+const RESERVATION_LIFETIME: Duration = Duration::from_millis(2_500);
 
 impl Planner {
-    /// Stops tasks that were held up for long where another worker would take them; they save their work
-    /// and start there.
-    pub(crate) fn move_held_up(&mut self) {
-        self.move_some(self.held_up(), MoveReason::HeldUp);
+    /// Moves tasks that have been throttled for long to workers that can run them. They save a
+    /// checkpoint when they stop and resume from it.
+    pub(crate) fn move_throttled(&mut self) {
+        self.move_runs(self.throttled_runs(), MoveReason::HeldUp);
     }
 
-    /// Stops what runs on leaving workers and can go on elsewhere: tasks that last, and those that save
-    /// their work and are far from done.
+    /// Moves tasks off leaving workers if they can continue elsewhere: long-running tasks, and
+    /// tasks with checkpoints that are far from complete.
     pub(crate) fn evacuate(&mut self) {
-        self.move_some(self.leaving_runs(), MoveReason::Leaving);
+        self.move_runs(self.leaving_runs(), MoveReason::Leaving);
     }
 
-    /// Moves the first few runs that another worker would take.
-    fn move_some(&mut self, found: Vec<(InstanceId, RunKey)>, why: MoveReason) {
+    /// Moves the first few of the runs for which another worker has capacity.
+    fn move_runs(&mut self, found: Vec<(InstanceId, RunKey)>, why: MoveReason) {
         let mut moves = 0;
         for (instance, key) in found {
-            if moves == MOVES_AT_ONCE {
+            if moves == MAX_MOVES_PER_TICK {
                 break;
             }
-            if let Some(to) = self.place_for(&instance, &key) {
+            if let Some(to) = self.destination_for(&instance, &key) {
                 moves += 1;
                 self.move_run(&instance, key, &to, why);
             }
         }
     }
 
-    /// Stops a run whose task is to go on elsewhere, and keeps its new place.
+    /// Stops a run whose task is to continue on another worker, and reserves capacity there.
     pub(crate) fn move_run(&mut self, from: &str, key: RunKey, to: &str, why: MoveReason) {
         let step = self.jobs.get(&key.0.job).and_then(|entry| entry.step(&key.0)).cloned();
         if let (Some(step), Some(worker)) = (step, self.inventory.get_mut(to)) {
-            worker.holds.keep(&key.0, &step, self.now, HOLD_SPAN);
+            worker.holds.keep(&key.0, &step, self.now, RESERVATION_LIFETIME);
         }
         self.decisions.push(PlanDecision::Moved {
             task: key.0.clone(),
@@ -75,8 +77,9 @@
             }
             for (key, run) in &worker.assigned {
                 let progress = run.seen.as_ref().map_or(0, |seen| seen.progress_percent);
-                let can_go_on = run.long_running || run.checkpoints && progress < NEARLY_DONE;
-                if can_go_on && !run.stopping {
+                let can_continue =
+                    run.long_running || run.checkpoints && progress < NEARLY_DONE_PERCENT;
+                if can_continue && !run.stopping {
                     found.push((instance.clone(), key.clone()));
                 }
             }
@@ -84,15 +87,18 @@
         found
     }
 
-    fn held_up(&self) -> Vec<(InstanceId, RunKey)> {
+    fn throttled_runs(&self) -> Vec<(InstanceId, RunKey)> {
         let mut found = Vec::new();
         for (instance, worker) in self.inventory.iter() {
             for (key, run) in &worker.assigned {
-                let held_for =
+                let throttled_for =
                     run.slow_since.map(|since| self.now.saturating_duration_since(since));
                 let age = self.now.saturating_duration_since(run.since);
-                let is_cheap = run.checkpoints || age < UNSAVED_AGE;
-                if held_for.is_some_and(|span| span >= HELD_UP_FOR) && is_cheap && !run.stopping {
+                let is_cheap = run.checkpoints || age < MAX_AGE_WITHOUT_CHECKPOINT;
+                if throttled_for.is_some_and(|span| span >= MIN_THROTTLED_TIME)
+                    && is_cheap
+                    && !run.stopping
+                {
                     found.push((instance.clone(), key.clone()));
                 }
             }
@@ -100,13 +106,13 @@
         found
     }
 
-    /// The worker that would take a task without risk for what serves there.
-    fn place_for(&self, instance: &str, key: &RunKey) -> Option<InstanceId> {
+    /// Returns a worker that can run the task without risk to the serving tasks there.
+    fn destination_for(&self, instance: &str, key: &RunKey) -> Option<InstanceId> {
         let request = self.move_request(&key.0, instance)?;
         choose(&request, &self.placement_view())
     }
 
-    /// What a task needs of the worker that it is moved to.
+    /// Placement request of a task that is moved away from a worker.
     pub(crate) fn move_request<'a>(
         &'a self,
         name: &'a TaskName,
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -1,10 +1,10 @@
-//! Makes room for tasks that go before others: stops runs of lower priority where no worker has room.
+//! Preemption: stops lower-priority runs for a task that fits on no worker.
 
 use std::time::Duration;
 
 use crate::ids::InstanceId;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::placement::fits_but_for_room;
+use crate::workflow::placement::is_eligible;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::spec::StepSpec;
@@ -12,47 +12,49 @@
 use crate::workflow::worker_entry::WorkerEntry;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Time without a run of its job after which a task may displace others, in milliseconds: room that is about to
-/// become free anyhow is taken first.
-const WAITED_MS: u64 = 400;
-/// Time between two displacements for one job, in milliseconds: stops and the look that shows their ends.
-const PAUSE_MS: u64 = 1_500;
-/// Most time between two savings of a task's work, from the users' sheets.
-const SAVED_EVERY: Duration = Duration::from_millis(1_000);
+/// Minimum time without a run of its job, in milliseconds, before a task may preempt others, so
+/// that capacity that is about to become free is used first.
+const MIN_WAIT_MS: u64 = 400;
+/// Minimum time between two preemptions for one job, in milliseconds: covers the stops and the
+/// snapshot that reports the ends.
+const MIN_PREEMPTION_INTERVAL_MS: u64 = 1_500;
+/// Longest interval between two checkpoints of a task, as specified by the users.
+const MAX_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Runs on one worker that would have to stop.
 struct Preemption {
     worker: InstanceId,
     runs: Vec<RunKey>,
-    /// Processor time that is lost, in thousandths of a core times milliseconds.
-    lost: u64,
+    /// Processor time lost by stopping them, in thousandths of a core times milliseconds.
+    loss: u64,
 }
 
 impl Planner {
-    /// Stops what has to make room for a task that found none. Nothing is stopped for tasks that fill.
+    /// Preempts runs for a task that fits on no worker. Best-effort tasks preempt nothing.
     pub(crate) fn preempt_for(&mut self, name: &TaskName, spec: &StepSpec) {
         let Some(entry) = self.jobs.get(&name.job) else {
             return;
         };
-        let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < WAITED_MS;
-        let is_recent = self.wall_ms.saturating_sub(entry.preempted_ms) < PAUSE_MS;
+        let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < MIN_WAIT_MS;
+        let is_recent =
+            self.wall_ms.saturating_sub(entry.preempted_ms) < MIN_PREEMPTION_INTERVAL_MS;
         if spec.fills || is_early || is_recent {
             return;
         }
-        let Some(least) = self.cheapest_preemption(name, spec) else {
+        let Some(cheapest) = self.cheapest_preemption(name, spec) else {
             return;
         };
         if let Some(entry) = self.jobs.get_mut(&name.job) {
             entry.preempted_ms = self.wall_ms;
         }
-        for key in least.runs {
+        for key in cheapest.runs {
             self.decisions.push(PlanDecision::Preempted {
                 task: key.0.clone(),
                 run: key.1,
-                worker: least.worker.clone(),
+                worker: cheapest.worker.clone(),
                 preemptor: name.clone(),
             });
-            self.stop_run(&least.worker, key);
+            self.stop_run(&cheapest.worker, key);
         }
     }
 
@@ -62,12 +64,14 @@
         let fitting = self
             .inventory
             .iter()
-            .filter(|(instance, one)| fits_but_for_room(&request, &view, instance, one));
-        let each = fitting.filter_map(|(instance, one)| self.preemption(name, spec, instance, one));
-        each.min_by_key(|preemption| preemption.lost)
+            .filter(|(instance, worker)| is_eligible(&request, &view, instance, worker));
+        let each =
+            fitting.filter_map(|(instance, worker)| self.preemption(name, spec, instance, worker));
+        each.min_by_key(|preemption| preemption.loss)
     }
 
-    /// What would have to stop on a worker, the cheapest runs first; nothing when that is not enough.
+    /// Selects the runs that would have to stop on a worker, cheapest first; `None` if stopping all
+    /// of them would not free enough.
     fn preemption(
         &self,
         name: &TaskName,
@@ -75,32 +79,33 @@
         instance: &str,
         worker: &WorkerEntry,
     ) -> Option<Preemption> {
-        let wanted = spec.counted_room();
-        let mut free = worker.free_room();
-        // What is stopping already comes free by itself.
+        let requested = spec.counted_room();
+        let mut free = worker.free_resources();
+        // Runs that are stopping free their resources without a preemption.
         let stopping = worker.assigned.values().filter(|run| run.stopping);
         stopping.for_each(|run| free = free.plus(&run.counted));
-        let mut lesser: Vec<(u64, &RunKey, &AssignedRun)> = worker
+        let mut candidates: Vec<(u64, &RunKey, &AssignedRun)> = worker
             .assigned
             .iter()
-            .filter(|(key, run)| !run.stopping && self.goes_before(name, spec, &key.0, run))
-            .map(|(key, run)| (self.loss(run), key, run))
+            .filter(|(key, run)| !run.stopping && self.takes_precedence(name, spec, &key.0, run))
+            .map(|(key, run)| (self.lost_processor_time(run), key, run))
             .collect();
-        lesser.sort_by_key(|(lost, key, _)| (*lost, (*key).clone()));
-        let mut preemption = Preemption { worker: instance.to_string(), runs: Vec::new(), lost: 0 };
-        for (lost, key, run) in lesser {
-            if free.contains(&wanted) {
+        candidates.sort_by_key(|(loss, key, _)| (*loss, (*key).clone()));
+        let mut preemption = Preemption { worker: instance.to_string(), runs: Vec::new(), loss: 0 };
+        for (loss, key, run) in candidates {
+            if free.contains(&requested) {
                 break;
             }
             free = free.plus(&run.counted);
             preemption.runs.push(key.clone());
-            preemption.lost += lost;
+            preemption.loss += loss;
         }
-        free.contains(&wanted).then_some(preemption)
+        free.contains(&requested).then_some(preemption)
     }
 
-    /// Whether a task goes before a run: by its queue's priority, and what lasts before what fills.
-    fn goes_before(
+    /// Returns whether a task may preempt a run: by the priority of its queue, and a long-running
+    /// task also a best-effort run.
+    fn takes_precedence(
         &self,
         name: &TaskName,
         spec: &StepSpec,
@@ -112,10 +117,11 @@
         !run.long_running && (is_urgent || spec.long_running && run.fills)
     }
 
-    /// Processor time that is lost when a run is stopped; what saves its work loses what it did since it saved.
-    fn loss(&self, run: &AssignedRun) -> u64 {
+    /// Processor time lost by stopping a run. A task with checkpoints loses only the work since the
+    /// last one.
+    fn lost_processor_time(&self, run: &AssignedRun) -> u64 {
         let ran = self.now.saturating_duration_since(run.since);
-        let lost = if run.checkpoints { ran.min(SAVED_EVERY) } else { ran };
-        u64::try_from(lost.as_millis()).unwrap_or(u64::MAX).saturating_mul(run.millicores)
+        let loss = if run.checkpoints { ran.min(MAX_CHECKPOINT_INTERVAL) } else { ran };
+        u64::try_from(loss.as_millis()).unwrap_or(u64::MAX).saturating_mul(run.millicores)
     }
 }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -1,5 +1,5 @@
-//! What the planner makes of the agents' reports: ends, refusals, runs that are missing or that nobody
-//! knows.
+//! Processing of the agents' reports: run ends, rejected starts, and runs that are missing or
+//! unknown to the planner.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,32 +27,35 @@
 use crate::workflow::worker_entry::WorkerEntry;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Least time between two messages that tell an agent what was learned of its runs.
-const DESCRIBE_PERIOD: Duration = Duration::from_millis(500);
-/// Change of a load, in thousandths, that an agent is told: half of what it keeps as margin.
-const TOLD_CHANGE: u32 = 30;
+/// Minimum time between two messages that update an agent on learned interference.
+const MIN_TRAITS_INTERVAL: Duration = Duration::from_millis(500);
+/// Change of an added load, in thousandths, that is sent to an agent: half of the agent's own
+/// margin.
+const MIN_SENT_CHANGE_PERMILLE: u32 = 30;
 
-/// Whether an agent has to be told anew of a run.
-fn is_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
+/// Returns whether the traits of a run differ enough from those sent before to be sent again.
+fn has_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
     let Some(told) = &run.told else {
         return true;
     };
     let known = |serving: &str| told.effects.iter().find(|effect| effect.serving == serving);
-    let is_other = |effect: &ImageEffect| {
-        known(&effect.serving)
-            .is_none_or(|old| old.added_permille.abs_diff(effect.added_permille) >= TOLD_CHANGE)
+    let is_different = |effect: &ImageEffect| {
+        known(&effect.serving).is_none_or(|old| {
+            old.added_permille.abs_diff(effect.added_permille) >= MIN_SENT_CHANGE_PERMILLE
+        })
     };
-    told.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_other)
+    told.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_different)
 }
 
-/// For each refusal of a look, whether the look shows the run all the same.
-fn refusals_shown(look: &RunnerLook) -> Vec<bool> {
+/// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
+fn rejections_shown(look: &RunnerLook) -> Vec<bool> {
     let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
     runs.map(|key| look.shows(&key)).collect()
 }
 
-/// Takes in which of a worker's runs a look shows. Gives those that it does not show though their orders had come.
-fn compare_runs(
+/// Updates a worker's runs from a snapshot. Returns the runs that the snapshot does not show
+/// although their orders had arrived.
+fn update_runs(
     worker: &mut WorkerEntry,
     mut present: BTreeMap<RunKey, PresentRun>,
     orders_seen: u64,
@@ -71,13 +74,14 @@
         }
     }
     if changed {
-        worker.fills_changed = Some(now);
+        worker.best_effort_changed = Some(now);
     }
     absent
 }
 
 impl Planner {
-    /// Takes in what an agent reports, and whether it came over a new link.
+    /// Processes the report of an agent; `is_new_link` tells whether it is the first one on a new
+    /// link.
     ///
     /// ```
     /// use std::time::Duration;
@@ -100,28 +104,29 @@
     pub fn on_report(&mut self, report: NodeReport, is_new_link: bool) {
         if let Some(status) = &report.runner {
             let has_former = !report.former.is_empty();
-            self.hear(status, has_former, is_new_link);
-            self.adopt(&report, &status.instance);
+            self.record_status(status, has_former, is_new_link);
+            self.adopt_runs(&report, &status.instance);
         }
         let mut given_up = Vec::new();
         for crash in &report.crashes {
             given_up.extend(self.on_crash(crash).map(|task| (task, crash.instance.as_str())));
         }
         for former in &report.former {
-            self.lose_settled(former, &report.unsettled);
+            self.give_up_settled_runs(former, &report.unsettled);
         }
         for (task, worker) in given_up {
-            self.give_up(task, worker);
+            self.give_up_task(task, worker);
         }
         if let (Some(status), Some(look)) = (report.runner, report.look) {
-            self.on_look(&status.instance, look);
+            self.on_snapshot(&status.instance, look);
         }
     }
 
-    fn hear(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
+    fn record_status(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
         let worker = self.inventory.entry(&status.instance, self.inherited_lease_end);
         if has_former && worker.status.is_none() {
-            // Calls for a former life may have given the new one a lease that nobody knows of.
+            // Calls meant for a previous instance may have extended a lease of the new one
+            // unnoticed.
             worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
         }
         worker.status = Some(status.clone());
@@ -129,8 +134,9 @@
         worker.resync |= is_new_link;
     }
 
-    /// Takes runs that were given to former lives and that the present life shows for its own: it has carried out their starts.
-    fn adopt(&mut self, report: &NodeReport, instance: &str) {
+    /// Transfers runs assigned to previous instances that the current instance shows as its own,
+    /// since it has carried out their start orders.
+    fn adopt_runs(&mut self, report: &NodeReport, instance: &str) {
         let Some(look) = &report.look else {
             return;
         };
@@ -141,7 +147,7 @@
         }
     }
 
-    /// Runs that were given to a life and that a look shows.
+    /// Runs assigned to an instance that a snapshot shows.
     fn runs_shown(&self, life: &str, look: &RunnerLook) -> Vec<RunKey> {
         let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
         runs.filter(|key| look.shows(key)).cloned().collect()
@@ -154,15 +160,15 @@
             from: former.to_string(),
             worker: instance.to_string(),
         });
-        let was_stopping = self.inventory.hand_over(former, instance, key);
-        self.keep_place(key, instance);
+        let was_stopping = self.inventory.transfer(former, instance, key);
+        self.record_instance(key, instance);
         if was_stopping {
             self.stop_run(instance, key.clone());
         }
     }
 
-    /// Keeps in its job's row on which life a run is.
-    fn keep_place(&mut self, key: &RunKey, instance: &str) {
+    /// Records in the row of the job which instance has a run.
+    fn record_instance(&mut self, key: &RunKey, instance: &str) {
         let Some(entry) = self.jobs.get_mut(&key.0.job) else {
             return;
         };
@@ -171,40 +177,40 @@
             task.and_then(|task| task.attempts.iter_mut().find(|attempt| attempt.run == key.1));
         if let Some(attempt) = attempt {
             attempt.worker = instance.to_string();
-            self.dirty.insert(key.0.job.clone());
+            self.changed_jobs.insert(key.0.job.clone());
         }
     }
 
-    fn on_look(&mut self, instance: &str, look: RunnerLook) {
-        let shown = refusals_shown(&look);
+    fn on_snapshot(&mut self, instance: &str, look: RunnerLook) {
+        let shown = rejections_shown(&look);
         self.on_ends(instance, look.ended);
         for (rejected, shown) in look.rejected.iter().zip(shown) {
             self.on_rejected(instance, rejected, shown);
         }
         let present = look.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
         let present: BTreeMap<RunKey, PresentRun> = present.collect();
-        self.stop_strangers(instance, &present);
+        self.stop_unknown_runs(instance, &present);
         let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let resync = std::mem::take(&mut worker.resync);
-        let absent = compare_runs(worker, present, look.orders_seen, resync, self.now);
+        let absent = update_runs(worker, present, look.orders_seen, resync, self.now);
         self.disturbance.learn(worker, self.now);
         let works = worker.assigned.iter().filter(|(_, run)| !run.long_running);
         let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
         let works: Vec<(TaskName, RunWork)> = works.collect();
         self.learn_durations(&works);
-        self.describe_changed(instance);
-        self.clear_survivors(instance);
+        self.send_changed_traits(instance);
+        self.clear_surviving_tasks(instance);
         for key in absent {
             if resync {
-                self.resend(instance, &key);
+                self.resend_start(instance, &key);
             } else {
-                self.end_absent(instance, &key);
+                self.end_absent_run(instance, &key);
             }
         }
         if resync {
-            self.describe_all(instance);
+            self.send_all_traits(instance);
         }
     }
 
@@ -214,7 +220,7 @@
             self.on_ended(instance, ended);
         }
         if let Some(last) = last {
-            self.held_acks.insert(instance.to_string(), last);
+            self.pending_acks.insert(instance.to_string(), last);
         }
     }
 
@@ -267,7 +273,7 @@
             shown,
         });
         if shown {
-            // What becomes of it is told by its end.
+            // The end of the run decides its outcome.
             return;
         }
         match rejected.reason {
@@ -284,31 +290,31 @@
         self.end_run(instance, &key, RunEnd::Lost, "");
     }
 
-    /// Stops runs that the worker has and the planner does not know there.
-    pub(crate) fn stop_strangers<V>(&mut self, instance: &str, present: &BTreeMap<RunKey, V>) {
+    /// Stops runs that the worker reports but that are not assigned to it.
+    pub(crate) fn stop_unknown_runs<V>(&mut self, instance: &str, present: &BTreeMap<RunKey, V>) {
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let strangers = present.keys().filter(|key| !worker.assigned.contains_key(key));
-        let stops = strangers.map(|key| NodeOrder::Stop(key.0.clone(), key.1));
+        let unknown = present.keys().filter(|key| !worker.assigned.contains_key(key));
+        let stops = unknown.map(|key| NodeOrder::Stop(key.0.clone(), key.1));
         self.outbox.extend(stops.map(|stop| (instance.to_string(), stop)));
     }
 
-    /// Sends the order of a run again, over a new link that has not carried it.
-    pub(crate) fn resend(&mut self, instance: &str, key: &RunKey) {
+    /// Sends the start order of a run again, on a new link over which it has not been sent.
+    pub(crate) fn resend_start(&mut self, instance: &str, key: &RunKey) {
         let is_ended = self.jobs.get(&key.0.job).is_none_or(|entry| entry.end.is_some());
         match self.start_order(instance, key) {
             Some(order) if !is_ended => {
                 let order = StartOrder { is_repeat: true, ..order };
                 self.outbox.push((instance.to_string(), NodeOrder::Start(order)));
             }
-            // Nobody needs the run, and the agent's look shows that it does not exist.
-            _ => self.end_absent(instance, key),
+            // The run is not needed any more, and the snapshot shows that it does not exist.
+            _ => self.end_absent_run(instance, key),
         }
     }
 
-    /// Gives up a run that its worker does not show.
-    fn end_absent(&mut self, instance: &str, key: &RunKey) {
+    /// Gives up a run that its worker's snapshot does not show.
+    fn end_absent_run(&mut self, instance: &str, key: &RunKey) {
         self.decisions.push(PlanDecision::RunAbsent {
             task: key.0.clone(),
             run: key.1,
@@ -317,8 +323,8 @@
         self.end_run(instance, key, RunEnd::Lost, "");
     }
 
-    /// Tells an agent what it has to know of the runs that it has.
-    pub(crate) fn describe_all(&mut self, instance: &str) {
+    /// Sends an agent the traits of all its runs, and repeats pending stop orders.
+    pub(crate) fn send_all_traits(&mut self, instance: &str) {
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
@@ -331,37 +337,37 @@
             .filter(|(_, run)| run.stopping)
             .map(|(key, _)| key.clone())
             .collect();
-        self.describe(instance, traits);
+        self.send_traits(instance, traits);
         let stops = stopping.into_iter().map(|key| NodeOrder::Stop(key.0, key.1));
         self.outbox.extend(stops.map(|order| (instance.to_string(), order)));
-        self.stop_unwanted(instance);
+        self.stop_obsolete_runs(instance);
     }
 
-    /// Tells an agent what has been learned of its runs since it was told.
-    fn describe_changed(&mut self, instance: &str) {
+    /// Sends an agent the traits that have changed since they were sent last.
+    fn send_changed_traits(&mut self, instance: &str) {
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let is_recent = |at: Instant| self.now.saturating_duration_since(at) < DESCRIBE_PERIOD;
-        if worker.described.is_some_and(is_recent) {
+        let is_recent = |at: Instant| self.now.saturating_duration_since(at) < MIN_TRAITS_INTERVAL;
+        if worker.traits_sent_at.is_some_and(is_recent) {
             return;
         }
         let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
-        let watched = known.filter(|(_, run)| run.fills || run.target_ms > 0);
+        let relevant = known.filter(|(_, run)| run.fills || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
-        for (key, run) in watched {
-            if let Some(traits) = self.traits(&key.0).filter(|new| is_changed(run, new)) {
+        for (key, run) in relevant {
+            if let Some(traits) = self.traits(&key.0).filter(|new| has_changed(run, new)) {
                 changed.push((key.clone(), traits));
             }
         }
         if let Some(worker) = self.inventory.get_mut(instance) {
-            worker.described = Some(self.now);
+            worker.traits_sent_at = Some(self.now);
         }
-        self.describe(instance, changed);
+        self.send_traits(instance, changed);
     }
 
-    /// Tells an agent of runs, and remembers what it was told.
-    fn describe(&mut self, instance: &str, runs: Vec<(RunKey, TaskTraits)>) {
+    /// Sends traits of runs to an agent and records them.
+    fn send_traits(&mut self, instance: &str, runs: Vec<(RunKey, TaskTraits)>) {
         let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
@@ -373,19 +379,20 @@
         }
     }
 
-    /// Stops runs of ended jobs, which a planner before may not have done.
-    fn stop_unwanted(&mut self, instance: &str) {
+    /// Stops runs of ended jobs and completed tasks, which the previous planner may not have
+    /// stopped.
+    fn stop_obsolete_runs(&mut self, instance: &str) {
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let is_over = |key: &&RunKey| {
+        let is_obsolete = |key: &&RunKey| {
             self.jobs.get(&key.0.job).is_none_or(|entry| {
                 let is_done = entry.progress.task(&key.0).is_some_and(|task| task.done);
                 entry.end.is_some() || is_done
             })
         };
-        let unwanted: Vec<RunKey> = worker.assigned.keys().filter(is_over).cloned().collect();
-        for key in unwanted {
+        let obsolete: Vec<RunKey> = worker.assigned.keys().filter(is_obsolete).cloned().collect();
+        for key in obsolete {
             self.stop_run(instance, key);
         }
     }
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -1,4 +1,4 @@
-//! A round of planning: in which order jobs get workers, and which tasks start.
+//! Planning rounds: the order in which jobs get workers, and the tasks that start.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -23,21 +23,23 @@
 use crate::workflow::urgency::JobUrgency;
 use crate::workflow::worker_entry::WorkerEntry;
 
-/// Multiple of its estimate after which a task that may have copies gets one; estimates are off by half.
-const COPY_AFTER: f64 = 3.0;
-/// Time beyond that for the way of orders and ends.
+/// Multiple of its estimate after which a running task gets a speculative copy; estimates may be
+/// off by half.
+const COPY_ESTIMATE_FACTOR: f64 = 3.0;
+/// Allowance added to that limit for the delivery of orders and ends.
 const COPY_SLACK: Duration = Duration::from_millis(250);
-/// Time without a run after which a job's tasks that fill take any room, in milliseconds: well below the
-/// three seconds that users bear to see a job stand still beside free room.
+/// Time without a run, in milliseconds, after which the best-effort tasks of a job are placed
+/// regardless of risk. Users tolerate three seconds during which a job stands still although
+/// capacity is free.
 const STARVED_AFTER_MS: u64 = 1_200;
 
-fn name_of(step: &StepKey, index: u32) -> TaskName {
+fn task_of_step(step: &StepKey, index: u32) -> TaskName {
     let (job, occurrence, step) = step.clone();
     TaskName { job, occurrence, step, index }
 }
 
 impl Planner {
-    /// Gives tasks that can start to workers that have room. Says how many were given.
+    /// Assigns ready tasks to workers that have capacity. Returns the number of tasks assigned.
     ///
     /// ```
     /// use std::time::Instant;
@@ -54,18 +56,18 @@
             open.map(|(job, entry)| (JobUrgency::of(entry, self.wall_ms), job)).collect();
         order.sort();
         let jobs: Vec<JobId> = order.into_iter().map(|(_, job)| job.clone()).collect();
-        let kept = self.inventory.kept_tasks(self.now);
-        let mut hopeless = HopelessNeeds::default();
+        let reserved = self.inventory.reserved_tasks(self.now);
+        let mut unplaceable = HopelessNeeds::default();
         let isolated = self.start_isolated();
-        let others = jobs.iter().map(|job| self.plan_job(job, &kept, &mut hopeless));
+        let others = jobs.iter().map(|job| self.plan_job(job, &reserved, &mut unplaceable));
         isolated + others.sum::<usize>()
     }
 
     fn plan_job(
         &mut self,
         job: &str,
-        kept: &HashSet<TaskName>,
-        hopeless: &mut HopelessNeeds,
+        reserved: &HashSet<TaskName>,
+        unplaceable: &mut HopelessNeeds,
     ) -> usize {
         let mut started = 0;
         for (occurrence, step) in self.ready_steps(job) {
@@ -78,17 +80,19 @@
             let indexes = self.startable(job, occurrence, step, &spec);
             let key = (job.to_string(), occurrence, step);
             if !indexes.is_empty() {
-                self.seek_advice(&key);
+                self.query_advice(&key);
             }
-            let names = indexes.into_iter().map(|index| name_of(&key, index));
+            let names = indexes.into_iter().map(|index| task_of_step(&key, index));
             started += if spec.gang {
                 self.start_gang(&names.collect::<Vec<TaskName>>(), &spec)
             } else {
                 let names = names.filter(|name| !self.task_suspicion.is_isolated(name));
-                // Siblings that find no place say nothing of a task for which one is kept.
-                let (kept, others): (Vec<TaskName>, Vec<TaskName>) =
-                    names.partition(|name| kept.contains(name));
-                self.start_kept(kept, &spec) + self.start_each(others.into_iter(), &spec, hopeless)
+                // That the other tasks of the step cannot be placed does not affect a task with a
+                // reservation.
+                let (reserved, others): (Vec<TaskName>, Vec<TaskName>) =
+                    names.partition(|name| reserved.contains(name));
+                self.start_reserved(reserved, &spec)
+                    + self.start_each(others.into_iter(), &spec, unplaceable)
             };
             if spec.speculative && !spec.gang {
                 started += self.start_copies(job, occurrence, step, &spec);
@@ -97,25 +101,26 @@
         started
     }
 
-    /// Asks the advice service where a step may run, if its queue needs that.
-    fn seek_advice(&mut self, step: &StepKey) {
+    /// Queries the advice service for the workers on which a step may run, if its queue requires
+    /// that.
+    fn query_advice(&mut self, step: &StepKey) {
         let Some(policy) = self.jobs.get(&step.0).map(|entry| &entry.spec.policy) else {
             return;
         };
         if policy.advice.is_none() {
             return;
         }
-        let is_fit = |worker: &WorkerEntry| {
+        let may_run = |worker: &WorkerEntry| {
             let is_served =
                 worker.status.as_ref().is_some_and(|status| status.service == policy.service);
             is_served && worker.is_open(self.now)
         };
-        let open = self.inventory.iter().filter(|(_, worker)| is_fit(worker));
+        let open = self.inventory.iter().filter(|(_, worker)| may_run(worker));
         let workers = open.map(|(instance, _)| instance.clone()).collect();
         self.questions.extend(self.advice.ask(step, workers, self.now));
     }
 
-    /// Steps whose turn has come.
+    /// Steps that are ready to run, as pairs of occurrence and step number.
     pub(crate) fn ready_steps(&self, job: &str) -> Vec<(u32, u32)> {
         let Some(entry) = self.jobs.get(job) else {
             return Vec::new();
@@ -131,7 +136,8 @@
         ready
     }
 
-    /// Positions of a step's tasks that are neither done nor running; of a gang all or none.
+    /// Indexes of a step's tasks that are neither done nor running; for a gang, either all of them
+    /// or none.
     pub(crate) fn startable(
         &self,
         job: &str,
@@ -151,9 +157,10 @@
         idle.map(|(index, _)| index).collect()
     }
 
-    /// Starts tasks that were moved and have a place kept, before the search for others ends at the first that finds none. On
-    /// busy days nearly every moved task has siblings that wait, and would wait behind them while its place stays empty.
-    fn start_kept(&mut self, names: Vec<TaskName>, spec: &StepSpec) -> usize {
+    /// Starts moved tasks with a reservation. They come before the other tasks of the step, whose
+    /// search ends at the first task that cannot be placed; otherwise a moved task would wait
+    /// behind them while its reserved capacity stays unused.
+    fn start_reserved(&mut self, names: Vec<TaskName>, spec: &StepSpec) -> usize {
         let mut started = 0;
         for name in names {
             if let Some(worker) = self.choose_worker(&name, spec, None, None) {
@@ -169,12 +176,13 @@
         &mut self,
         names: impl Iterator<Item = TaskName>,
         spec: &StepSpec,
-        hopeless: &mut HopelessNeeds,
+        unplaceable: &mut HopelessNeeds,
     ) -> usize {
         let mut started = 0;
         for name in names {
-            let Some(worker) = self.choose_if_hopeful(&name, spec, hopeless) else {
-                // The tasks of a step are alike; where this one finds no room, none does.
+            let Some(worker) = self.choose_unless_unplaceable(&name, spec, unplaceable) else {
+                // The tasks of a step have the same requirements, so the others cannot be placed
+                // either.
                 self.preempt_for(&name, spec);
                 break;
             };
@@ -185,8 +193,8 @@
         started
     }
 
-    /// Starts all members of a gang under one run, or none; on one rack where its members need that and
-    /// one has room.
+    /// Starts all members of a gang under one run number, or none. A gang that should be colocated
+    /// starts on one rack if a rack has capacity for it, else on several.
     fn start_gang(&mut self, names: &[TaskName], spec: &StepSpec) -> usize {
         let racks: BTreeSet<String> = if spec.colocated {
             let known = self.inventory.iter().filter_map(|(_, worker)| worker.status.as_ref());
@@ -209,15 +217,15 @@
             return 0;
         }
         let run = names.iter().map(|name| self.last_run(name)).max().unwrap_or(0) + 1;
-        let mut given: Vec<(InstanceId, &TaskName)> = Vec::new();
+        let mut placed: Vec<(InstanceId, &TaskName)> = Vec::new();
         for name in names {
             let Some(worker) = self.choose_worker(name, spec, rack, None) else {
-                for (worker, name) in given {
+                for (worker, name) in placed {
                     self.inventory.release(&worker, &(name.clone(), run), self.now);
                 }
                 return 0;
             };
-            // Held while the others are placed, so that they see the room that is left.
+            // Assigned temporarily, so that the next members see the remaining capacity.
             self.inventory.assign(
                 &worker,
                 (name.clone(), run),
@@ -225,21 +233,21 @@
                 self.now,
                 self.inherited_lease_end,
             );
-            given.push((worker, name));
+            placed.push((worker, name));
         }
-        for (worker, name) in given {
+        for (worker, name) in placed {
             self.inventory.release(&worker, &(name.clone(), run), self.now);
             self.assign(name, run, worker, spec);
         }
         names.len()
     }
 
-    /// Starts copies of tasks that run far longer than expected, where copies are allowed.
+    /// Starts speculative copies of tasks that run far longer than estimated.
     fn start_copies(&mut self, job: &str, occurrence: u32, step: u32, spec: &StepSpec) -> usize {
-        let late = self.late_tasks(job, occurrence, step, spec);
+        let slow = self.slow_tasks(job, occurrence, step, spec);
         let mut started = 0;
-        for (name, slow) in late {
-            if let Some(worker) = self.choose_worker(&name, spec, None, Some(&slow)) {
+        for (name, current_worker) in slow {
+            if let Some(worker) = self.choose_worker(&name, spec, None, Some(&current_worker)) {
                 let run = self.last_run(&name) + 1;
                 self.assign(&name, run, worker, spec);
                 started += 1;
@@ -248,8 +256,8 @@
         started
     }
 
-    /// Tasks with one run that has taken far longer than estimated, and the worker that has it.
-    fn late_tasks(
+    /// Tasks whose only run has taken far longer than estimated, each with the worker of that run.
+    fn slow_tasks(
         &self,
         job: &str,
         occurrence: u32,
@@ -258,8 +266,9 @@
     ) -> Vec<(TaskName, InstanceId)> {
         let tasks = self.jobs.get(job).and_then(|entry| entry.progress.open.get(&occurrence));
         let tasks = tasks.and_then(|steps| steps.get(step as usize));
-        let limit = Duration::from_millis(spec.estimate_ms).mul_f64(COPY_AFTER) + COPY_SLACK;
-        let mut late = Vec::new();
+        let limit =
+            Duration::from_millis(spec.estimate_ms).mul_f64(COPY_ESTIMATE_FACTOR) + COPY_SLACK;
+        let mut slow = Vec::new();
         for (index, task) in (0..).zip(tasks.into_iter().flatten()) {
             let [attempt] = task.attempts.as_slice() else {
                 continue;
@@ -272,10 +281,10 @@
             let age = run.map(|run| self.now.saturating_duration_since(run.since));
             let is_suspected = !self.task_suspicion.crashes(&name).is_empty();
             if age.is_some_and(|age| age > limit) && !task.done && !is_suspected {
-                late.push((name, attempt.worker.clone()));
+                slow.push((name, attempt.worker.clone()));
             }
         }
-        late
+        slow
     }
 
     pub(crate) fn choose_worker(
@@ -288,25 +297,26 @@
         choose(&self.placement_request(name, spec, rack, not_on)?, &self.placement_view())
     }
 
-    /// A worker for a task, unless this round has found none for a need of its kind.
-    fn choose_if_hopeful(
+    /// Returns a worker for a task. Skips the search if no worker was found for a similar request
+    /// in this round.
+    fn choose_unless_unplaceable(
         &self,
         name: &TaskName,
         spec: &StepSpec,
-        hopeless: &mut HopelessNeeds,
+        unplaceable: &mut HopelessNeeds,
     ) -> Option<InstanceId> {
         let request = self.placement_request(name, spec, None, None)?;
-        if hopeless.covers(&request) {
+        if unplaceable.covers(&request) {
             return None;
         }
         let chosen = choose(&request, &self.placement_view());
         if chosen.is_none() {
-            hopeless.add(&request);
+            unplaceable.add(&request);
         }
         chosen
     }
 
-    /// What a task needs of its worker.
+    /// Builds the placement request of a task.
     pub(crate) fn placement_request<'a>(
         &'a self,
         name: &'a TaskName,
@@ -315,12 +325,12 @@
         not_on: Option<&'a str>,
     ) -> Option<PlacementRequest<'a>> {
         let entry = self.jobs.get(&name.job)?;
-        let avoid = entry.failed_on.get(&(name.occurrence, name.step, name.index));
+        let failed_on = entry.failed_on.get(&(name.occurrence, name.step, name.index));
         Some(PlacementRequest {
             task: name,
             step: spec,
             service: &entry.spec.policy.service,
-            avoid: avoid.map_or(&[], Vec::as_slice),
+            failed_on: failed_on.map_or(&[], Vec::as_slice),
             risk: self.risk_limit(entry),
             needs_ticket: entry.spec.policy.advice.is_some(),
             rack,
@@ -329,7 +339,7 @@
         })
     }
 
-    /// What workers are chosen by.
+    /// State that a placement is decided on.
     pub(crate) fn placement_view(&self) -> PlacementView<'_> {
         PlacementView {
             inventory: &self.inventory,
@@ -341,7 +351,7 @@
         }
     }
 
-    /// How far a job's tasks that fill may go: a job of which nothing has run for a while takes any room.
+    /// Returns the accepted risk to serving tasks: any, for a job that has had no run for a while.
     fn risk_limit(&self, entry: &JobEntry) -> RiskLimit {
         let idle_ms = self.wall_ms.saturating_sub(entry.last_run_ms);
         let is_idle = entry.progress.is_idle();
@@ -353,7 +363,7 @@
         entry.and_then(|entry| entry.progress.task(name)).map_or(0, |task| task.last_run)
     }
 
-    /// Gives a run to a worker; its order waits until the store has it.
+    /// Assigns a run to a worker. Its start order is sent after the run is stored.
     pub(crate) fn assign(
         &mut self,
         name: &TaskName,
@@ -385,7 +395,7 @@
             self.isolate(&worker, &key);
         }
         self.suspicion.on_start(&worker, &name.to_string(), self.now);
-        self.dirty.insert(name.job.clone());
-        self.held_starts.entry(name.job.clone()).or_default().push((worker, key));
+        self.changed_jobs.insert(name.job.clone());
+        self.pending_starts.entry(name.job.clone()).or_default().push((worker, key));
     }
 }
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -1,4 +1,5 @@
-//! Where tasks that serve are, as far as it decides how many tasks that fill get room beside them.
+//! Distribution of serving tasks over workers, and its effect on the number of best-effort tasks
+//! that can run beside them.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,18 +11,20 @@
 use crate::workflow::worker_inventory::RunKey;
 use crate::workflow::worker_inventory::WorkerInventory;
 
-/// Fills that work at full pace beside so many jobs that serve: ten by a worker's processors where nothing serves;
-/// else the load of each job swings by itself, and the one nearest to its target binds. Counted on workers of 32
-/// cores under more load than they took in; only the order and the falling steps matter for the choice.
-const FILLS_BESIDE: [f64; 5] = [10.0, 6.0, 3.0, 1.6, 1.0];
+/// Number of best-effort tasks that run at full pace beside 0, 1, 2, ... serving jobs on a worker.
+/// Without serving jobs the processors are the limit; otherwise the loads of the jobs vary
+/// independently, and the job closest to its target is the limit. Counted on workers of 32 cores
+/// with more load than they could run; the choice of moves depends only on the order of the values
+/// and on their decreasing differences.
+const BEST_EFFORT_BESIDE: [f64; 5] = [10.0, 6.0, 3.0, 1.6, 1.0];
 
-/// What serves on one worker that may get work.
+/// Serving tasks on one worker that accepts new runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerLayout {
-    /// Tasks that serve, by their job.
+    /// Number of serving tasks by job.
     jobs: BTreeMap<String, usize>,
-    /// Guarded capacity that tasks that last leave; what else runs there ends within seconds.
-    pub lasting_room: RoomAmount,
+    /// Allocatable capacity that long-running tasks leave free; all other tasks end within seconds.
+    pub long_term_free: RoomAmount,
 }
 
 impl WorkerLayout {
@@ -30,10 +33,10 @@
         for (key, _) in serving_runs(worker) {
             *jobs.entry(key.0.job.clone()).or_default() += 1;
         }
-        WorkerLayout { jobs, lasting_room: lasting_room(worker) }
+        WorkerLayout { jobs, long_term_free: long_term_free(worker) }
     }
 
-    /// Number of tasks that serve.
+    /// Returns the number of serving tasks.
     ///
     /// ```
     /// use std::time::Instant;
@@ -48,7 +51,7 @@
         self.jobs.values().sum()
     }
 
-    /// Fills that get room when one task of a job leaves, less those that have it.
+    /// Estimates how many more best-effort tasks can run after one task of a job is removed.
     ///
     /// ```
     /// use std::time::Instant;
@@ -63,10 +66,10 @@
         if self.jobs.get(job) != Some(&1) {
             return 0.0;
         }
-        fills_beside(self.jobs.len() - 1) - fills_beside(self.jobs.len())
+        best_effort_beside(self.jobs.len() - 1) - best_effort_beside(self.jobs.len())
     }
 
-    /// Fills that lose their room when one task of a job comes.
+    /// Estimates how many fewer best-effort tasks can run after one task of a job is added.
     ///
     /// ```
     /// use std::time::Instant;
@@ -81,19 +84,19 @@
         if self.jobs.contains_key(job) {
             return 0.0;
         }
-        fills_beside(self.jobs.len()) - fills_beside(self.jobs.len() + 1)
+        best_effort_beside(self.jobs.len()) - best_effort_beside(self.jobs.len() + 1)
     }
 }
 
-/// All workers that may get work.
+/// Serving tasks on all workers that accept new runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingLayout {
-    /// By the life of their runner.
+    /// Workers by runner instance.
     pub workers: BTreeMap<InstanceId, WorkerLayout>,
 }
 
 impl ServingLayout {
-    /// The layout at a time.
+    /// Returns the layout of the workers that accept new runs at `now`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -110,18 +113,18 @@
     }
 }
 
-/// The tasks that serve and last on a worker.
+/// Long-running serving tasks of a worker.
 pub(crate) fn serving_runs(worker: &WorkerEntry) -> impl Iterator<Item = (&RunKey, &AssignedRun)> {
     worker.assigned.iter().filter(|(_, run)| run.target_ms > 0 && run.long_running)
 }
 
-/// Guarded capacity of a worker that tasks that last leave.
-pub(crate) fn lasting_room(worker: &WorkerEntry) -> RoomAmount {
+/// Allocatable capacity of a worker that long-running tasks leave free.
+pub(crate) fn long_term_free(worker: &WorkerEntry) -> RoomAmount {
     let capacity = worker.status.as_ref().map(|status| status.capacity).unwrap_or_default();
     let lasting = worker.assigned.values().filter(|run| run.long_running);
     lasting.fold(capacity, |room, run| room.minus(&run.counted))
 }
 
-fn fills_beside(jobs: usize) -> f64 {
-    FILLS_BESIDE[jobs.min(FILLS_BESIDE.len() - 1)]
+fn best_effort_beside(jobs: usize) -> f64 {
+    BEST_EFFORT_BESIDE[jobs.min(BEST_EFFORT_BESIDE.len() - 1)]
 }
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -1,4 +1,5 @@
-//! One worker as the planner knows it: what it said, what was given to it, and what that leaves.
+//! State of one worker: what it reports, the runs assigned to it, and the capacity that these
+//! leave.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,46 +13,52 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
-/// A worker that was silent for so long gets no new work: two waits of a sync call and some.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Share of its declared processor time that a serving task is taken to use, for what it leaves to
-/// tasks that fill. What is really left is seen by the fills' own usage.
-const SERVING_USE: f64 = 0.6;
-/// Least pace at which a task that fills counts with what it would use, since it may work faster again.
-const LEAST_PACE_COUNTED: f64 = 0.3;
-/// Share of their processor time that the fills of a worker have to be let work, or it gets no other one. Fills share a
-/// load that does not grow with their number: one more beside slowed ones only makes its own job late as well.
-const LEAST_WORKING: f64 = 0.6;
-/// How long runs that filled and have ended are remembered: the span over which tails are measured and
-/// the age of a report.
-pub const ENDED_KEPT: Duration = Duration::from_millis(1_000);
-
-/// One life of a runner.
+/// Time without a report after which a worker gets no new runs; somewhat longer than two
+/// long-polling sync calls.
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Assumed share of its requested processor time that a serving task uses, for an estimate of what
+/// is left for best-effort tasks. The actual remainder shows in the usage that these report.
+const SERVING_UTILIZATION: f64 = 0.6;
+/// Minimum pace assumed for a best-effort task in the estimate of its demand, since it may speed up
+/// again.
+const MIN_ASSUMED_PACE: f64 = 0.3;
+/// Minimum average pace of a worker's best-effort tasks at which it gets further ones. They share a
+/// capacity that does not grow with their number, so another task beside throttled ones would only
+/// be late as well.
+const MIN_AVERAGE_PACE: f64 = 0.6;
+/// Time for which ended best-effort runs are remembered: the span over which tail latencies are
+/// measured, and the age of a report.
+pub const ENDED_RETENTION: Duration = Duration::from_millis(1_000);
+
+/// One instance of a runner.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// What it said of itself; nothing until its agent has reported.
+    /// Reported status; `None` until its agent has reported.
     pub status: Option<RunnerStatus>,
-    /// What was given to it.
+    /// Runs assigned to it.
     pub assigned: BTreeMap<RunKey, AssignedRun>,
-    /// When the leases of everything on it have surely expired, if nothing more is granted.
+    /// Time by which the leases of all its runs have expired, unless they are extended.
     pub lease_end: Instant,
     /// When its agent last reported.
     pub last_contact: Option<Instant>,
-    /// Until when it gets nothing because it refused for want of room.
+    /// Time until which it gets no runs because it rejected one for lack of capacity.
     pub full_until: Option<Instant>,
-    /// When tasks that fill were last given, taken or paced here, as far as this planner knows.
-    pub fills_changed: Option<Instant>,
-    /// Runs that filled and have ended within [`ENDED_KEPT`].
+    /// When a best-effort run was last assigned, removed or changed in pace here, as far as this
+    /// planner knows.
+    pub best_effort_changed: Option<Instant>,
+    /// Best-effort runs that ended within [`ENDED_KEPT`].
     pub ended_fills: Vec<EndedFill>,
-    /// When its agent was last told what has changed of its runs.
-    pub described: Option<Instant>,
-    /// Whether its assigned runs have to be compared with what its agent knows, after a new link.
+    /// When changed traits of its runs were last sent to its agent.
+    pub traits_sent_at: Option<Instant>,
+    /// Whether its runs have to be compared with those that its agent reports, because the link is
+    /// new.
     pub resync: bool,
-    /// Room that is kept for tasks that are on their way.
+    /// Capacity reserved for tasks that are being moved here.
     pub holds: RoomHolds,
-    /// Whether its life is over. What is still assigned to it may be begun by the next life of its runner.
-    pub is_over: bool,
-    /// A run of a task that is suspected to crash its workers, beside which nothing else starts.
+    /// Whether the instance has ended. Runs that are still assigned to it may be started by its
+    /// successor.
+    pub has_ended: bool,
+    /// Run of a task that is suspected of crashing its workers; no other task starts beside it.
     pub isolated: Option<RunKey>,
     pub(crate) used: RoomAmount,
 }
@@ -64,44 +71,45 @@
             lease_end,
             last_contact: None,
             full_until: None,
-            fills_changed: None,
+            best_effort_changed: None,
             ended_fills: Vec::new(),
-            described: None,
+            traits_sent_at: None,
             resync: true,
             holds: RoomHolds::default(),
-            is_over: false,
+            has_ended: false,
             isolated: None,
             used: RoomAmount::default(),
         }
     }
 
-    /// Guarded capacity that nothing was given to.
+    /// Returns the allocatable capacity that is not assigned.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let entry = inventory.entry("i-1", Instant::now());
-    /// assert_eq!(entry.free_room().millicores, 0);
+    /// assert_eq!(entry.free_resources().millicores, 0);
     /// ```
-    pub fn free_room(&self) -> RoomAmount {
+    pub fn free_resources(&self) -> RoomAmount {
         self.status.as_ref().map(|status| status.capacity.minus(&self.used)).unwrap_or_default()
     }
 
-    /// Guarded capacity that a task may take: what is free, less what is kept for others.
+    /// Returns the allocatable capacity available to a task: the free capacity less reservations
+    /// for other tasks.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// let room = inventory.entry("i-1", Instant::now()).room_for(&"a.0.0.0".parse().unwrap(), Instant::now());
+    /// let room = inventory.entry("i-1", Instant::now()).available_to(&"a.0.0.0".parse().unwrap(), Instant::now());
     /// assert_eq!(room.millicores, 0);
     /// ```
-    pub fn room_for(&self, task: &TaskName, now: Instant) -> RoomAmount {
-        self.holds.leave(self.free_room(), task, now)
+    pub fn available_to(&self, task: &TaskName, now: Instant) -> RoomAmount {
+        self.holds.leave(self.free_resources(), task, now)
     }
 
-    /// Whether it may get new work at `now`.
+    /// Returns whether it accepts new runs at `now`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -111,70 +119,72 @@
     /// ```
     pub fn is_open(&self, now: Instant) -> bool {
         let is_heard = self.last_contact.is_some_and(|last_contact| {
-            now.saturating_duration_since(last_contact) < SILENCE_LIMIT
+            now.saturating_duration_since(last_contact) < SILENCE_TIMEOUT
         });
         let is_full = self.full_until.is_some_and(|until| now < until);
         let is_leaving = self.status.as_ref().is_none_or(|status| status.draining);
         is_heard && !is_full && !is_leaving && !self.resync
     }
 
-    /// Processor time that tasks that fill may expect to share, in thousandths of a core.
+    /// Returns the processor time estimated to be left for best-effort tasks, in thousandths of a
+    /// core.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert_eq!(inventory.entry("i-1", Instant::now()).fill_room(), 0.0);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).best_effort_capacity(), 0.0);
     /// ```
-    pub fn fill_room(&self) -> f64 {
+    pub fn best_effort_capacity(&self) -> f64 {
         let Some(status) = &self.status else {
             return 0.0;
         };
-        let use_of = |run: &AssignedRun| {
-            let share = if run.target_ms > 0 { SERVING_USE } else { 1.0 };
+        let usage = |run: &AssignedRun| {
+            let share = if run.target_ms > 0 { SERVING_UTILIZATION } else { 1.0 };
             run.millicores as f64 * share
         };
         let others = self.assigned.values().filter(|run| !run.fills);
-        let used: f64 = others.map(use_of).sum();
+        let used: f64 = others.map(usage).sum();
         (status.capacity.millicores as f64 - used).max(0.0)
     }
 
-    /// Processor time that the tasks that fill here would use, in thousandths of a core.
+    /// Returns the processor time that its best-effort tasks would use, in thousandths of a core.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert_eq!(inventory.entry("i-1", Instant::now()).fill_demand(), 0.0);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).best_effort_demand(), 0.0);
     /// ```
-    pub fn fill_demand(&self) -> f64 {
+    pub fn best_effort_demand(&self) -> f64 {
         let fills = self.assigned.values().filter(|run| run.fills);
         let share = |run: &AssignedRun| {
             let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
             f64::from(pace) / 100.0
         };
-        fills.map(|run| run.millicores as f64 * share(run).max(LEAST_PACE_COUNTED)).sum()
+        fills.map(|run| run.millicores as f64 * share(run).max(MIN_ASSUMED_PACE)).sum()
     }
 
-    /// Whether the fills here are slowed so far that another one would only take from them.
+    /// Returns whether its best-effort tasks are throttled so much that another one would only take
+    /// capacity from them.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert!(!inventory.entry("i-1", Instant::now()).holds_fills_back());
+    /// assert!(!inventory.entry("i-1", Instant::now()).is_saturated());
     /// ```
-    pub fn holds_fills_back(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
         for run in self.assigned.values().filter(|run| run.fills) {
             let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
             wanted += run.millicores as f64;
             working += run.millicores as f64 * f64::from(pace) / 100.0;
         }
-        working < wanted * LEAST_WORKING
+        working < wanted * MIN_AVERAGE_PACE
     }
 
-    /// Whether a task that serves has been given to it.
+    /// Returns whether a serving task is assigned to it.
     ///
     /// ```
     /// use std::time::Instant;
@@ -186,32 +196,33 @@
         self.assigned.values().any(|run| run.target_ms > 0)
     }
 
-    /// Processor time of what would be lost with it, in thousandths of a core; what serves counts twice.
+    /// Returns the processor time of the runs that a crash would lose, in thousandths of a core;
+    /// serving tasks count twice.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert_eq!(inventory.entry("i-1", Instant::now()).stake(), 0.0);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).crash_loss(), 0.0);
     /// ```
-    pub fn stake(&self) -> f64 {
+    pub fn crash_loss(&self) -> f64 {
         let weight = |run: &AssignedRun| if run.target_ms > 0 { 2.0 } else { 1.0 };
         self.assigned.values().map(|run| run.millicores as f64 * weight(run)).sum()
     }
 
-    /// When the newest of its runs was assigned.
+    /// Returns when the newest of its runs was assigned.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert_eq!(inventory.entry("i-1", Instant::now()).newest(), None);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).last_assigned_at(), None);
     /// ```
-    pub fn newest(&self) -> Option<Instant> {
+    pub fn last_assigned_at(&self) -> Option<Instant> {
         self.assigned.values().map(|run| run.since).max()
     }
 
-    /// Whether a task of an image serves here.
+    /// Returns whether a serving task of an image is assigned to it.
     ///
     /// ```
     /// use std::time::Instant;
@@ -223,16 +234,16 @@
         self.assigned.values().any(|run| run.target_ms > 0 && run.image == image)
     }
 
-    /// Number of runs of a step of one occurrence here.
+    /// Returns the number of its runs that belong to the same step and occurrence as a task.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let name = "a.0.0.0".parse().unwrap();
-    /// assert_eq!(inventory.entry("i-1", Instant::now()).of_step(&name), 0);
+    /// assert_eq!(inventory.entry("i-1", Instant::now()).runs_of_step(&name), 0);
     /// ```
-    pub fn of_step(&self, name: &TaskName) -> u32 {
+    pub fn runs_of_step(&self, name: &TaskName) -> u32 {
         let is_same = |key: &&RunKey| {
             key.0.job == name.job && key.0.occurrence == name.occurrence && key.0.step == name.step
         };
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of all workers: what runs where, and who is silent.
+//! All workers known to the planner, with their assigned runs and the time of their last contact.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -11,24 +11,25 @@
 use crate::workflow::assigned_run::EndedFill;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_entry::ENDED_KEPT;
-use crate::workflow::worker_entry::SILENCE_LIMIT;
+use crate::workflow::worker_entry::ENDED_RETENTION;
+use crate::workflow::worker_entry::SILENCE_TIMEOUT;
 use crate::workflow::worker_entry::WorkerEntry;
 
-/// After a worker refused a start for want of room it is left alone for this long; its view of its
-/// room is then that of the planner again.
-const ROOM_PAUSE: Duration = Duration::from_millis(300);
-/// Identifies a run of a task.
+/// Time for which a worker gets no new runs after it rejected one for lack of capacity. By then its
+/// own account of free capacity agrees with the planner's.
+const FULL_BACKOFF: Duration = Duration::from_millis(300);
+/// A task and the number of one of its runs.
 pub type RunKey = (TaskName, RunNumber);
 
-/// All workers, by the life of their runner.
+/// All workers, by runner instance.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerInventory {
     workers: BTreeMap<InstanceId, WorkerEntry>,
 }
 
 impl WorkerInventory {
-    /// The entry of a life, made when it is new. `lease_end` bounds what earlier planners granted.
+    /// Returns the entry of an instance, creating it if it is new. `lease_end` bounds the leases
+    /// that earlier planners granted.
     ///
     /// ```
     /// use std::time::Instant;
@@ -37,11 +38,11 @@
     /// assert!(inventory.entry("i-1", Instant::now()).status.is_none());
     /// ```
     pub fn entry(&mut self, instance: &str, lease_end: Instant) -> &mut WorkerEntry {
-        let made = || WorkerEntry::new(lease_end);
-        self.workers.entry(instance.to_string()).or_insert_with(made)
+        let create = || WorkerEntry::new(lease_end);
+        self.workers.entry(instance.to_string()).or_insert_with(create)
     }
 
-    /// A worker, if it is known.
+    /// Returns a worker, if it is known.
     ///
     /// ```
     /// assert!(greengagearch::workflow::worker_inventory::WorkerInventory::default().get("i-1").is_none());
@@ -50,7 +51,7 @@
         self.workers.get(instance)
     }
 
-    /// A worker to be changed, if it is known.
+    /// Returns a worker for modification, if it is known.
     ///
     /// ```
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
@@ -60,7 +61,7 @@
         self.workers.get_mut(instance)
     }
 
-    /// All workers.
+    /// Returns all workers.
     ///
     /// ```
     /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
@@ -70,19 +71,19 @@
         self.workers.iter()
     }
 
-    /// Tasks for which some worker keeps room.
+    /// Returns the tasks that have a reservation on some worker.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert!(inventory.kept_tasks(Instant::now()).is_empty());
+    /// assert!(inventory.reserved_tasks(Instant::now()).is_empty());
     /// ```
-    pub fn kept_tasks(&self, now: Instant) -> HashSet<TaskName> {
+    pub fn reserved_tasks(&self, now: Instant) -> HashSet<TaskName> {
         self.workers.values().flat_map(|worker| worker.holds.tasks(now)).cloned().collect()
     }
 
-    /// Gives a run to a worker.
+    /// Assigns a run to a worker.
     ///
     /// ```
     /// use std::time::Instant;
@@ -124,12 +125,12 @@
         worker.used = worker.used.plus(&run.counted);
         worker.holds.drop_for(&key.0);
         if run.fills {
-            worker.fills_changed = Some(now);
+            worker.best_effort_changed = Some(now);
         }
         worker.assigned.insert(key, run);
     }
 
-    /// Takes a run from a worker, since it has ended there.
+    /// Removes a run that has ended on a worker.
     ///
     /// ```
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
@@ -141,10 +142,10 @@
         let run = worker.assigned.remove(key)?;
         worker.isolated.take_if(|isolated| isolated == key);
         if run.fills {
-            worker.fills_changed = Some(now);
+            worker.best_effort_changed = Some(now);
             worker
                 .ended_fills
-                .retain(|ended| now.saturating_duration_since(ended.end) < ENDED_KEPT);
+                .retain(|ended| now.saturating_duration_since(ended.end) < ENDED_RETENTION);
             worker.ended_fills.extend(run.seen_since.map(|begin| EndedFill {
                 image: run.image.clone(),
                 begin,
@@ -156,7 +157,8 @@
         Some(run)
     }
 
-    /// Takes a run from one life to another, which has begun it. Says whether it was ordered to stop on the former.
+    /// Transfers a run to another instance, which has started it. Returns whether the run had been
+    /// ordered to stop on the former one.
     ///
     /// ```
     /// use std::time::Instant;
@@ -168,10 +170,10 @@
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
     /// inventory.assign("i-1@1", key.clone(), &StepSpec::default(), now, now);
     /// inventory.entry("i-1@2", now);
-    /// assert!(!inventory.hand_over("i-1@1", "i-1@2", &key));
+    /// assert!(!inventory.transfer("i-1@1", "i-1@2", &key));
     /// assert_eq!(inventory.get("i-1@2").unwrap().assigned.len(), 1);
     /// ```
-    pub fn hand_over(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
+    pub fn transfer(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
         let Some(before) = self.workers.get_mut(from) else {
             return false;
         };
@@ -187,18 +189,18 @@
         was_stopping
     }
 
-    /// Forgets a life of a runner; gives the runs that it had.
+    /// Removes a runner instance and returns the runs that were assigned to it.
     ///
     /// ```
     /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
-    /// assert!(inventory.forget("i-1").is_empty());
+    /// assert!(inventory.remove("i-1").is_empty());
     /// ```
-    pub fn forget(&mut self, instance: &str) -> Vec<RunKey> {
+    pub fn remove(&mut self, instance: &str) -> Vec<RunKey> {
         let worker = self.workers.remove(instance);
         worker.into_iter().flat_map(|worker| worker.assigned.into_keys()).collect()
     }
 
-    /// Lives whose leases have surely expired and whose agents are silent.
+    /// Returns the instances whose leases have expired and whose agents are silent.
     ///
     /// ```
     /// use std::time::Instant;
@@ -210,13 +212,13 @@
         let is_expired = |entry: &(&InstanceId, &WorkerEntry)| {
             let last_contact = entry.1.last_contact;
             let is_silent =
-                last_contact.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_LIMIT);
+                last_contact.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_TIMEOUT);
             is_silent && now >= entry.1.lease_end
         };
         self.workers.iter().filter(is_expired).map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Takes note that a worker refused a start for want of room.
+    /// Records that a worker rejected a start for lack of capacity.
     ///
     /// ```
     /// use std::time::Instant;
@@ -226,7 +228,7 @@
     /// ```
     pub fn on_full(&mut self, instance: &str, now: Instant) {
         if let Some(worker) = self.workers.get_mut(instance) {
-            worker.full_until = Some(now + ROOM_PAUSE);
+            worker.full_until = Some(now + FULL_BACKOFF);
         }
     }
 }
