--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -35,8 +35,8 @@
                 ("epoch", &epoch),
             ],
         ),
-        PlanDecision::RunRefused { task, run, worker, reason, shown } => log_event(
-            refusal_level(*shown),
+        PlanDecision::RunRejected { task, run, worker, reason, shown } => log_event(
+            rejection_level(*shown),
             "run_refused",
             &[
                 ("task", task),
@@ -128,7 +128,7 @@
 }
 
 /// A run that its worker refused and has all the same may soon be there twice.
-fn refusal_level(shown: bool) -> Level {
+fn rejection_level(shown: bool) -> Level {
     if shown { Level::Warn } else { Level::Info }
 }
 
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -52,7 +52,7 @@
         ran_ms: u64,
     },
     /// A worker rejected a run.
-    RunRefused {
+    RunRejected {
         /// Task of the run.
         task: TaskName,
         /// Number of the run.
@@ -189,7 +189,7 @@
             PlanDecision::RunEnded { end: RunEnd::Failed, .. } => "failed",
             PlanDecision::RunEnded { end: RunEnd::Stopped, .. } => "stopped",
             PlanDecision::RunEnded { .. } => "lost",
-            PlanDecision::RunRefused { .. } => "refused",
+            PlanDecision::RunRejected { .. } => "refused",
             PlanDecision::RunAbsent { .. } => "absent",
             PlanDecision::RunAdopted { .. } => "adopted",
             PlanDecision::Moved { .. } => "moved",
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -265,7 +265,7 @@
     }
 
     fn on_rejected(&mut self, instance: &str, rejected: &RejectedRun, shown: bool) {
-        self.decisions.push(PlanDecision::RunRefused {
+        self.decisions.push(PlanDecision::RunRejected {
             task: rejected.task.clone(),
             run: rejected.run,
             worker: instance.to_string(),
--- a/tests/given_up_runs.rs
+++ b/tests/given_up_runs.rs
@@ -39,7 +39,7 @@
     }
     fleet.report("i-1", false);
     let decisions = fleet.planner.take_decisions();
-    let refused = PlanDecision::RunRefused {
+    let refused = PlanDecision::RunRejected {
         task: key.0,
         run: key.1,
         worker: "i-1".to_string(),
@@ -68,7 +68,8 @@
     fleet.end("i-1", &key, RunEnd::Done, "");
     fleet.report("i-1", false);
     let decisions = fleet.planner.take_decisions();
-    let is_shown = |one: &PlanDecision| matches!(one, PlanDecision::RunRefused { shown: true, .. });
+    let is_shown =
+        |one: &PlanDecision| matches!(one, PlanDecision::RunRejected { shown: true, .. });
     assert!(decisions.iter().any(is_shown), "{decisions:?}");
 }
 
