--- a/src/workflow/hopeless_needs.rs
+++ b/src/workflow/hopeless_needs.rs
@@ -59,6 +59,6 @@
 
 /// Whether a need depends on nothing that is its task's alone.
 fn is_shared(request: &PlacementRequest<'_>) -> bool {
-    let is_free = request.rack.is_none() && request.not_on.is_none();
+    let is_free = request.rack.is_none() && request.excluded_worker.is_none();
     is_free && !request.needs_ticket && request.step.max_per_worker == 0
 }
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -64,7 +64,7 @@
     /// Whether the task is suspected of crashing its workers.
     pub is_isolated: bool,
     /// Worker that is excluded, if any.
-    pub not_on: Option<&'a str>,
+    pub excluded_worker: Option<&'a str>,
 }
 
 /// Risk to the serving tasks of a worker that is accepted when a best-effort task is placed there.
@@ -123,7 +123,7 @@
 ///     needs_ticket: false,
 ///     rack: None,
 ///     is_isolated: false,
-///     not_on: None,
+///     excluded_worker: None,
 /// };
 /// let (inventory, suspicion) = (WorkerInventory::default(), WorkerSuspicion::default());
 /// let disturbance = DisturbanceModel::default();
@@ -178,7 +178,7 @@
         || step.max_per_worker == 0 || worker.runs_of_step(request.task) < step.max_per_worker;
     // A task that starts beside a suspected one would be lost in a crash and obscure its cause.
     let is_available = worker.isolated.as_ref().is_none_or(|key| is_same_gang(request, &key.0));
-    request.not_on != Some(instance)
+    request.excluded_worker != Some(instance)
         && is_available
         && status.service == request.service
         && request.rack.is_none_or(|rack| status.rack() == rack)
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -292,9 +292,9 @@
         name: &TaskName,
         spec: &StepSpec,
         rack: Option<&str>,
-        not_on: Option<&str>,
+        excluded_worker: Option<&str>,
     ) -> Option<InstanceId> {
-        choose(&self.placement_request(name, spec, rack, not_on)?, &self.placement_view())
+        choose(&self.placement_request(name, spec, rack, excluded_worker)?, &self.placement_view())
     }
 
     /// Returns a worker for a task. Skips the search if no worker was found for a similar request
@@ -322,7 +322,7 @@
         name: &'a TaskName,
         spec: &'a StepSpec,
         rack: Option<&'a str>,
-        not_on: Option<&'a str>,
+        excluded_worker: Option<&'a str>,
     ) -> Option<PlacementRequest<'a>> {
         let entry = self.jobs.get(&name.job)?;
         let failed_on = entry.failed_on.get(&(name.occurrence, name.step, name.index));
@@ -335,7 +335,7 @@
             needs_ticket: entry.spec.policy.advice.is_some(),
             rack,
             is_isolated: self.task_suspicion.is_isolated(name),
-            not_on,
+            excluded_worker,
         })
     }
 
