--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -35,8 +35,8 @@
                 ("epoch", &epoch),
             ],
         ),
-        PlanDecision::RunRefused { task, run, worker, reason, shown } => log_event(
-            refusal_level(*shown),
+        PlanDecision::RunRejected { task, run, worker, reason, shown } => log_event(
+            rejection_level(*shown),
             "run_refused",
             &[
                 ("task", task),
@@ -69,10 +69,16 @@
                 ("epoch", &epoch),
             ],
         ),
-        PlanDecision::Displaced { task, run, worker, by } => log_event(
+        PlanDecision::Preempted { task, run, worker, preemptor } => log_event(
             Level::Info,
             "task_displaced",
-            &[("task", task), ("run", run), ("worker", worker), ("by", by), ("epoch", &epoch)],
+            &[
+                ("task", task),
+                ("run", run),
+                ("worker", worker),
+                ("by", preemptor),
+                ("epoch", &epoch),
+            ],
         ),
         PlanDecision::JobEnded { job, end, age_ms, objective_ms } => log_event(
             Level::Info,
@@ -122,7 +128,7 @@
 }
 
 /// A run that its worker refused and has all the same may soon be there twice.
-fn refusal_level(shown: bool) -> Level {
+fn rejection_level(shown: bool) -> Level {
     if shown { Level::Warn } else { Level::Info }
 }
 
@@ -135,20 +141,20 @@
         &[
             ("epoch", &epoch),
             ("jobs", &load.jobs),
-            ("waiting", &load.waiting),
-            ("serving", &load.serving),
-            ("filling", &load.filling),
-            ("slowed", &load.slowed),
-            ("fill_wanted", &load.fill_wanted),
-            ("fill_used", &load.fill_used),
-            ("others", &load.others),
-            ("workers", &load.workers),
+            ("waiting", &load.waiting_tasks),
+            ("serving", &load.serving_runs),
+            ("filling", &load.best_effort_runs),
+            ("slowed", &load.throttled_runs),
+            ("fill_wanted", &load.best_effort_demand),
+            ("fill_used", &load.best_effort_usage),
+            ("others", &load.other_runs),
+            ("workers", &load.open_workers),
             ("serving_workers", &load.serving_workers),
-            ("held_back_workers", &load.held_back_workers),
-            ("fill_jobs", &load.fill_jobs),
-            ("late_fill_jobs", &load.late_fill_jobs),
-            ("late_fill_used", &load.late_fill_used),
+            ("held_back_workers", &load.saturated_workers),
+            ("fill_jobs", &load.best_effort_jobs),
+            ("late_fill_jobs", &load.late_best_effort_jobs),
+            ("late_fill_used", &load.late_best_effort_usage),
         ],
     );
-    log_event(Level::Info, "learned_pairs", &[("pairs", &planner.learned_pairs())]);
+    log_event(Level::Info, "learned_pairs", &[("pairs", &planner.learned_summary())]);
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -156,7 +156,7 @@
         }
         planner.set_time(clock::now(), self.shared.clock.wall_millis());
         if let Some(effects) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
-            planner.adopt_learned(decode(effects).unwrap_or_default());
+            planner.restore_learned(decode(effects).unwrap_or_default());
         }
         for row in &progress {
             if let Some(known) = decode(row) {
@@ -330,7 +330,8 @@
             parcels.entry(instance).or_default().push(order);
         }
         for (instance, orders) in parcels {
-            let numbered = self.with_planner(|planner| planner.number_order(&instance, &orders));
+            let numbered =
+                self.with_planner(|planner| planner.assign_order_number(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
             };
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -54,9 +54,9 @@
     fleet.round();
     fleet.end_all(RunEnd::Done);
     fleet.report("i-1", false);
-    assert_eq!(fleet.planner.acked("i-1"), 0);
+    assert_eq!(fleet.planner.last_acked_end("i-1"), 0);
     fleet.store();
-    assert_eq!(fleet.planner.acked("i-1"), 1);
+    assert_eq!(fleet.planner.last_acked_end("i-1"), 1);
 }
 
 /// Seen on hunt-57d5-3 of bridgeway: numbers of orders began anew with a new life of the runner, while
@@ -83,7 +83,7 @@
     let orders = fleet.planner.take_orders();
     assert_eq!(orders.len(), 3, "what ran on the former life starts on the new one");
     for (instance, order) in &orders {
-        fleet.planner.number_order(instance, std::slice::from_ref(order));
+        fleet.planner.assign_order_number(instance, std::slice::from_ref(order));
     }
     // The agent reports before the orders have come.
     fleet.report("i-2", false);
@@ -187,7 +187,7 @@
     let batch = fleet.planner.take_batch().unwrap();
     fleet.cancel("a");
     let record = fleet.records["a"].clone();
-    fleet.planner.on_refused(batch, vec![("a".to_string(), fleet.version, record)]);
+    fleet.planner.on_conflict(batch, vec![("a".to_string(), fleet.version, record)]);
     fleet.round();
     let jobs: Vec<String> = fleet.running().into_iter().map(|(_, key)| key.0.job).collect();
     assert_eq!(jobs, ["b"]);
@@ -201,8 +201,8 @@
     let before = fleet.running();
     let (instance, key) = before[0].clone();
     fleet.end(&instance, &key, RunEnd::Done, "");
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet.report("i-2", true);
     fleet.round();
@@ -217,8 +217,8 @@
     let mut fleet = PlannedFleet::new(&["i-1"]);
     fleet.submit("a", job(vec![step(1, 500)]));
     fleet.plan();
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet.deliver();
     assert_matches!(fleet.running().as_slice(), [(_, (_, 1))]);
@@ -247,8 +247,8 @@
     fleet.round();
     let (lost, _) = fleet.running()[0].clone();
     fleet.runners.remove(&lost);
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     (0..95).for_each(|_| fleet.round());
     assert!(fleet.running().is_empty());
     (0..10).for_each(|_| fleet.round());
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -236,12 +236,12 @@
     let learned = fleet.planner.learned();
     assert_eq!(learned.pairs.len(), 1);
     assert_eq!(learned.min_tails.len(), 1);
-    let known = fleet.planner.learned_pairs();
+    let known = fleet.planner.learned_summary();
     let stored = serde_json::to_vec(&learned).unwrap();
     fleet.take_over(fleet.now());
-    assert_eq!(fleet.planner.learned_pairs(), "");
-    fleet.planner.adopt_learned(serde_json::from_slice(&stored).unwrap());
-    assert_eq!(fleet.planner.learned_pairs(), known);
+    assert_eq!(fleet.planner.learned_summary(), "");
+    fleet.planner.restore_learned(serde_json::from_slice(&stored).unwrap());
+    assert_eq!(fleet.planner.learned_summary(), known);
 }
 
 /// A fleet on which a task serves, and whose planner has just taken over; leases of the planner before last on for
@@ -252,8 +252,8 @@
         StepSpec { long_running: true, target_ms: 50, image: "s".to_string(), ..step(1, 500) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
-    let inherited_end = fleet.now() + Duration::from_secs(10);
-    fleet.take_over(inherited_end);
+    let inherited_lease_end = fleet.now() + Duration::from_secs(10);
+    fleet.take_over(inherited_lease_end);
     fleet.report("i-1", true);
     fleet
 }
