--- a/src/process/node/run_orders.rs
+++ b/src/process/node/run_orders.rs
@@ -15,13 +15,13 @@
 
 impl NodeState {
     /// Takes an order to start a run. Says whether it is new.
-    pub fn begin_start(&mut self, order: &StartOrder, now: Instant) -> bool {
+    pub fn accept_start(&mut self, order: &StartOrder, now: Instant) -> bool {
         let key = (order.traits.task.clone(), order.run);
         self.traits.insert(key.0.clone(), order.traits.clone());
         if order.is_repeat {
             self.unsettled.on_sending(&key, now);
         }
-        self.book.begin_start(&key, order.is_repeat, now)
+        self.tracker.accept_start(&key, order.is_repeat, now)
     }
 
     /// Decides what has to be done next about a start.
@@ -32,26 +32,26 @@
         room: &ResourceVector,
         now: Instant,
     ) -> StartStep {
-        if !self.is_target(target) {
-            return StartStep::Over(None);
+        if !self.is_current_target(target) {
+            return StartStep::Finished(None);
         }
         let conditions = self.start_conditions(key, room, now);
-        self.book.next_step(key, &conditions, now)
+        self.tracker.next_step(key, &conditions, now)
     }
 
     /// Takes note that a start leaves, as its turn has come and it is still to be sent. Gives the lease that it carries.
-    pub fn begin_try(
+    pub fn begin_attempt(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
         room: &ResourceVector,
         now: Instant,
     ) -> Option<RunnerMillis> {
-        if !self.is_target(target) {
+        if !self.is_current_target(target) {
             return None;
         }
         let conditions = self.start_conditions(key, room, now);
-        let lease_end = self.book.begin_try(key, &conditions, now)?;
+        let lease_end = self.tracker.begin_attempt(key, &conditions, now)?;
         self.lease.on_sent();
         self.begun.on_sending(key, now);
         self.unsettled.on_sending(key, now);
@@ -59,18 +59,18 @@
     }
 
     /// Takes note of what became of a try, unless the life that it was sent to has ended meanwhile.
-    pub fn on_start_answer(
+    pub fn on_start_response(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
         answer: &Result<(), RunnerError>,
         now: Instant,
     ) {
-        if !self.is_target(target) {
+        if !self.is_current_target(target) {
             return;
         }
-        self.book.on_start_answer(key, answer, now);
-        let newest = self.book.newest_look();
+        self.tracker.on_start_response(key, answer, now);
+        let newest = self.tracker.newest_poll();
         match answer {
             Ok(()) => {
                 self.begun.on_begun(key);
@@ -91,35 +91,36 @@
     }
 
     /// Takes an order to stop a run. Says whether it is new.
-    pub fn begin_stop(&mut self, key: &RunKey) -> bool {
-        self.book.begin_stop(key)
+    pub fn accept_stop(&mut self, key: &RunKey) -> bool {
+        self.tracker.accept_stop(key)
     }
 
     /// Where a stop that was ordered for a target has to be sent, until the runner has taken it; tokens may have been raised since.
     pub fn stop_target(&self, target: &RunnerTarget, key: &RunKey) -> Option<RunnerTarget> {
-        let is_due = self.is_target(target) && self.book.is_stop_due(key);
+        let is_due = self.is_current_target(target) && self.tracker.is_stop_due(key);
         self.target().filter(|_| is_due)
     }
 
     /// Takes note of what became of a try to stop a run: one that was refused has done nothing.
-    pub fn on_stop_answer(
+    pub fn on_stop_response(
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
         answer: &Result<(), RunnerError>,
     ) {
-        if answer.is_ok() && self.is_target(target) {
-            self.book.on_stop_taken(key);
+        if answer.is_ok() && self.is_current_target(target) {
+            self.tracker.on_stop_accepted(key);
         }
     }
 
     /// Whether the runner's newest capacity holds a run beside everything that it shows or is about to start; what is being
     /// stopped counts until it has ended. A start may have been decided before the capacity shrank, and waited for the store.
     pub fn has_room(&self, key: &RunKey, room: &ResourceVector) -> bool {
-        let Some(runner) = self.lives.present() else {
+        let Some(runner) = self.instances.current() else {
             return false;
         };
-        let others: BTreeSet<&RunKey> = self.present.iter().chain(self.book.starting()).collect();
+        let others: BTreeSet<&RunKey> =
+            self.present.iter().chain(self.tracker.starting()).collect();
         let others = others.into_iter().filter(|other| *other != key);
         let rooms =
             others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.resources);
--- a/src/process/node/watcher.rs
+++ b/src/process/node/runner_poller.rs
@@ -6,8 +6,8 @@
 use log::Level;
 
 use crate::connection::node_protocol::young_text;
+use crate::external::runner_control::PollRequest;
 use crate::external::runner_control::RunnerError;
-use crate::external::runner_control::RunnerHold;
 use crate::external::runner_control::RunnerTarget;
 use crate::process::clock;
 use crate::process::logging::log_event;
@@ -21,7 +21,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 /// Starts looking.
-pub fn spawn_watcher(shared: Arc<NodeShared>) {
+pub fn spawn_runner_poller(shared: Arc<NodeShared>) {
     // An agent before may have paced what runs.
     shared.state().pace = PaceController::inheriting();
     tokio::spawn(async move {
@@ -29,7 +29,7 @@
         loop {
             let target = shared.state().target();
             let Some(target) = target else {
-                await_life(&shared).await;
+                await_instance(&shared).await;
                 continue;
             };
             match look(&shared, &target).await {
@@ -52,51 +52,51 @@
 
 /// Waits for a life of the runner to register. One that may be back under the id of the last is called before that, so that it takes
 /// nothing that was meant for the last one.
-async fn await_life(shared: &NodeShared) {
-    let awaited = shared.state().awaited_target();
+async fn await_instance(shared: &NodeShared) {
+    let awaited = shared.state().successor_target();
     let Some(target) = awaited else {
         return shared.look.notified().await;
     };
     tokio::select! {
-        () = call_next_life(shared, &target) => {}
+        () = poll_successor(shared, &target) => {}
         () = shared.look.notified() => {}
     }
 }
 
-async fn call_next_life(shared: &NodeShared, target: &RunnerTarget) {
-    let answer = shared.control.hold(target, RunnerHold::default()).await.map(|_| ());
-    shared.state().on_awaited_answer(&answer, clock::now());
+async fn poll_successor(shared: &NodeShared, target: &RunnerTarget) {
+    let answer = shared.control.poll(target, PollRequest::default()).await.map(|_| ());
+    shared.state().on_successor_response(&answer, clock::now());
     tokio::time::sleep(RETRY_PAUSE).await;
 }
 
 /// Decides what a look that failed says of the runner.
 fn on_error(shared: &NodeShared, target: &RunnerTarget, error: &RunnerError) {
     let mut state = shared.state();
-    if !state.is_target(target) {
+    if !state.is_current_target(target) {
         return;
     }
     let now = clock::now();
     let has_ended = match error {
         RunnerError::OtherLife | RunnerError::NotRunning => state.on_crash(&target.instance, now),
-        RunnerError::NoAnswer { is_broken, .. } => state.on_no_answer(*is_broken, now),
+        RunnerError::NoAnswer { is_broken, .. } => state.on_no_response(*is_broken, now),
         RunnerError::Fenced => {
             state.on_fenced();
             false
         }
         RunnerError::Rejected { .. } => {
-            if state.on_refused_look(now) {
+            if state.on_rejected_poll(now) {
                 log_event(Level::Warn, "leases_expired", &[("instance", &target.instance)]);
             }
             false
         }
     };
-    let has_news = state.has_news();
+    let has_changes = state.has_changes();
     drop(state);
     if has_ended {
         log_end(shared, target);
-        shared.life_changed.notify_one();
+        shared.instance_changed.notify_one();
     }
-    if has_news {
+    if has_changes {
         shared.news.notify_one();
     }
 }
@@ -115,12 +115,12 @@
         let mut state = shared.state();
         // Without a lease on record the first look only reads the runner's clock.
         let wait = if state.lease_end().is_some() { LOOK_WAIT } else { Duration::ZERO };
-        state.next_hold(wait, clock::now())
+        state.next_poll(wait, clock::now())
     };
-    let lists = shared.control.hold(target, hold).await?;
+    let lists = shared.control.poll(target, hold).await?;
     let (steps, long_over) = {
         let mut state = shared.state();
-        if !state.is_target(target) {
+        if !state.is_current_target(target) {
             return Ok(());
         }
         let now = clock::now();
@@ -128,7 +128,7 @@
             let state = &mut *state;
             state.pace.update(&lists.running, &state.traits, now)
         };
-        if state.on_lists(number, lists, now) {
+        if state.on_poll_response(number, lists, now) {
             shared.news.notify_one();
         }
         (steps, state.pace.take_sustained_violations())
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -12,7 +12,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::RejectReason;
 use crate::connection::node_protocol::RejectedRun;
-use crate::connection::node_protocol::RunnerLook;
+use crate::connection::node_protocol::RunnerSnapshot;
 use crate::connection::node_protocol::RunnerStatus;
 use crate::connection::node_protocol::StartOrder;
 use crate::connection::node_protocol::TaskTraits;
@@ -48,7 +48,7 @@
 }
 
 /// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
-fn rejections_shown(look: &RunnerLook) -> Vec<bool> {
+fn rejections_shown(look: &RunnerSnapshot) -> Vec<bool> {
     let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
     runs.map(|key| look.shows(&key)).collect()
 }
@@ -97,7 +97,7 @@
     ///     former: vec![],
     ///     unsettled: vec![],
     ///     crashes: vec![],
-    ///     look: None,
+    ///     snapshot: None,
     /// };
     /// planner.on_report(report, true);
     /// ```
@@ -117,7 +117,7 @@
         for (task, worker) in given_up {
             self.give_up_task(task, worker);
         }
-        if let (Some(status), Some(look)) = (report.runner, report.look) {
+        if let (Some(status), Some(look)) = (report.runner, report.snapshot) {
             self.on_snapshot(&status.instance, look);
         }
     }
@@ -137,7 +137,7 @@
     /// Transfers runs assigned to previous instances that the current instance shows as its own,
     /// since it has carried out their start orders.
     fn adopt_runs(&mut self, report: &NodeReport, instance: &str) {
-        let Some(look) = &report.look else {
+        let Some(look) = &report.snapshot else {
             return;
         };
         for former in &report.former {
@@ -148,7 +148,7 @@
     }
 
     /// Runs assigned to an instance that a snapshot shows.
-    fn runs_shown(&self, life: &str, look: &RunnerLook) -> Vec<RunKey> {
+    fn runs_shown(&self, life: &str, look: &RunnerSnapshot) -> Vec<RunKey> {
         let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
         runs.filter(|key| look.shows(key)).cloned().collect()
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    fn on_snapshot(&mut self, instance: &str, look: RunnerLook) {
+    fn on_snapshot(&mut self, instance: &str, look: RunnerSnapshot) {
         let shown = rejections_shown(&look);
         self.on_ends(instance, look.ended);
         for (rejected, shown) in look.rejected.iter().zip(shown) {
--- a/tests/refused_looks.rs
+++ b/tests/refused_looks.rs
@@ -12,22 +12,22 @@
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::StartOrder;
+use greengagearch::external::runner_control::PollRequest;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
+use greengagearch::process::node::runner_poller::spawn_runner_poller;
 use greengagearch::process::node::shared::NodeShared;
-use greengagearch::process::node::watcher::spawn_watcher;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::sleep;
 use tokio::time::timeout;
 
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
+use crate::linked_agent::registered_runner;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 1, link: 1 };
 /// The only lease that the runner gets.
@@ -79,10 +79,10 @@
         Ok(())
     }
 
-    async fn hold(&self, _: &RunnerTarget, _: RunnerHold) -> Result<RunnerLists, RunnerError> {
+    async fn poll(&self, _: &RunnerTarget, _: PollRequest) -> Result<PollResponse, RunnerError> {
         sleep(Duration::from_millis(20)).await;
         let running = vec![begun_run("a.0.0.0")];
-        let lists = RunnerLists { clock: 500, running, ended: Vec::new() };
+        let lists = PollResponse { clock: 500, running, ended: Vec::new() };
         self.failure().map_or(Ok(lists), Err)
     }
 }
@@ -91,10 +91,10 @@
 async fn is_told_as_over(is_silent: bool) -> bool {
     let runner = Arc::new(UnwellRunner { is_silent, ..UnwellRunner::default() });
     let shared = Arc::new(NodeShared::new(runner.clone()));
-    shared.state().on_beat(known_runner(4_000, 4_000, 1));
+    shared.state().on_heartbeat(registered_runner(4_000, 4_000, 1));
     shared.state().admit(STAMP).unwrap();
     shared.state().on_sync(&lease_call(STAMP, LEASE));
-    spawn_watcher(shared.clone());
+    spawn_runner_poller(shared.clone());
     sleep(WELL).await;
     drop(shared.state().report(clock::now()));
     runner.is_unwell.store(true, Ordering::Relaxed);
@@ -109,7 +109,7 @@
 /// Whether a report says that nothing runs on the life.
 fn tells_nothing(report: &NodeReport) -> bool {
     let is_former = report.former.iter().any(|life| life == "i-1");
-    is_former || report.look.as_ref().is_some_and(|look| look.present.is_empty())
+    is_former || report.snapshot.as_ref().is_some_and(|look| look.present.is_empty())
 }
 
 /// The baseline: what ran on a silent runner is told as over when its leases have surely expired.
