--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -5,7 +5,7 @@
 pub mod job_desk;
 pub mod job_http;
 pub mod node_link;
-pub mod office;
+pub mod ownership;
 pub mod peer_watch;
 pub mod planner_client;
 pub mod planner_loop;
@@ -37,7 +37,7 @@
 use crate::process::logging::log_event;
 use crate::process::metrics::serve_metrics;
 use crate::process::planning::job_desk::JobDesk;
-use crate::process::planning::office::OwnershipOffice;
+use crate::process::planning::ownership::OwnershipElector;
 use crate::process::planning::settings::PlannerSettings;
 use crate::process::planning::shared::PlannerShared;
 use crate::process::stop_signal::StopSignal;
@@ -113,7 +113,7 @@
         // It answers until the process ends, so that the balancer learns of the stop.
         let (kept, never) = StopSwitch::new();
         spawn_http_server(ready, caller_gate::ready_router(gate), limits, never);
-        let office = OwnershipOffice::spawn(shared.clone());
+        let elector = OwnershipElector::spawn(shared.clone());
         let running = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[("id", &shared.settings.id)]);
@@ -123,7 +123,7 @@
                 close.stop();
                 // The server's task ends when its last connection has; a panic has been printed.
                 let _ = server.await;
-                let _ = office.await;
+                let _ = elector.await;
             };
             if tokio::time::timeout(drain_limit, drain).await.is_err() {
                 log_event(Level::Error, "drain_limit_passed", &[("id", &shared.settings.id)]);
--- a/src/process/planning/office.rs
+++ b/src/process/planning/ownership.rs
@@ -61,7 +61,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use greengagearch::process::planning::office::vacant_after;
+/// use greengagearch::process::planning::ownership::vacant_after;
 ///
 /// assert_eq!(vacant_after(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
 /// ```
@@ -79,7 +79,7 @@
 }
 
 /// Watches the ownership, and takes it when nobody has it.
-pub struct OwnershipOffice {
+pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
     changed: Instant,
@@ -87,17 +87,17 @@
     has_failed: bool,
 }
 
-impl OwnershipOffice {
+impl OwnershipElector {
     /// Starts watching. The task ends when the process stops.
     pub fn spawn(shared: Arc<PlannerShared>) -> tokio::task::JoinHandle<()> {
-        let office = OwnershipOffice {
+        let elector = OwnershipElector {
             shared,
             owner: None,
             changed: clock::now(),
             after: None,
             has_failed: false,
         };
-        tokio::spawn(office.run())
+        tokio::spawn(elector.run())
     }
 
     async fn run(mut self) {
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -21,7 +21,7 @@
 use crate::process::planning::node_link::LinkNews;
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderParcel;
-use crate::process::planning::office::OwnerProof;
+use crate::process::planning::ownership::OwnerProof;
 use crate::process::planning::planner_writes::LEARNED_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::written;
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use greengagearch::process::planning::office::vacant_after;
+use greengagearch::process::planning::ownership::vacant_after;
 use greengagearch::process::planning::rows::OwnerRow;
 
 const OWN: &str = "10.0.0.1:7000";
