--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -61,11 +61,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use greengagearch::process::planning::ownership::vacant_after;
+/// use greengagearch::process::planning::ownership::takeover_delay;
 ///
-/// assert_eq!(vacant_after(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
+/// assert_eq!(takeover_delay(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
 /// ```
-pub fn vacant_after(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
+pub fn takeover_delay(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
     // Of processes at one address only the newest lives; so a row that names this one is of its past.
     let Some(owner) = owner.filter(|owner| owner.address != own_address) else {
         return Duration::ZERO;
@@ -166,14 +166,14 @@
         }
     }
 
-    fn vacant_after(&self) -> Duration {
+    fn takeover_delay(&self) -> Duration {
         let settings = &self.shared.settings;
         let owner = self.owner.as_ref().map(|(owner, _)| owner);
-        vacant_after(owner, &settings.internal_listen.to_string(), settings.processor_share)
+        takeover_delay(owner, &settings.internal_listen.to_string(), settings.processor_share)
     }
 
     fn until_vacant(&self) -> Duration {
-        (self.changed + self.vacant_after()).saturating_duration_since(clock::now())
+        (self.changed + self.takeover_delay()).saturating_duration_since(clock::now())
     }
 
     fn is_vacant(&self) -> bool {
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use greengagearch::process::planning::ownership::vacant_after;
+use greengagearch::process::planning::ownership::takeover_delay;
 use greengagearch::process::planning::rows::OwnerRow;
 
 const OWN: &str = "10.0.0.1:7000";
@@ -17,21 +17,21 @@
 fn the_host_with_the_most_processor_time_comes_first_after_a_release_too() {
     for released in [true, false] {
         let row = owner("10.0.0.2:7000", released);
-        let [weak, strong] = [0.12, 0.5].map(|share| vacant_after(Some(&row), OWN, share));
+        let [weak, strong] = [0.12, 0.5].map(|share| takeover_delay(Some(&row), OWN, share));
         assert!(strong + Duration::from_millis(40) < weak, "{strong:?} {weak:?}");
     }
     let released = owner("10.0.0.2:7000", true);
-    assert!(vacant_after(Some(&released), OWN, 0.0) < Duration::from_millis(200));
+    assert!(takeover_delay(Some(&released), OWN, 0.0) < Duration::from_millis(200));
 }
 
 #[test]
 fn nobody_waits_for_an_own_past_or_for_nobody() {
-    assert_eq!(vacant_after(None, OWN, 0.1), Duration::ZERO);
-    assert_eq!(vacant_after(Some(&owner(OWN, false)), OWN, 0.1), Duration::ZERO);
+    assert_eq!(takeover_delay(None, OWN, 0.1), Duration::ZERO);
+    assert_eq!(takeover_delay(Some(&owner(OWN, false)), OWN, 0.1), Duration::ZERO);
 }
 
 #[test]
 fn a_living_planner_is_left_alone_for_longer_than_three_pulses() {
     let row = owner("10.0.0.2:7000", false);
-    assert!(vacant_after(Some(&row), OWN, 1.0) > Duration::from_millis(3 * 400));
+    assert!(takeover_delay(Some(&row), OWN, 1.0) > Duration::from_millis(3 * 400));
 }
