--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -50,7 +50,7 @@
 
 /// What links tell the planner's loop.
 #[derive(Debug)]
-pub enum LinkNews {
+pub enum LinkEvent {
     /// An agent has reported.
     Report {
         /// Its address.
@@ -84,7 +84,7 @@
         shared: Arc<PlannerShared>,
         epoch: PlannerEpoch,
         address: String,
-        news: mpsc::UnboundedSender<LinkNews>,
+        news: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
         let (orders, parcels) = mpsc::unbounded_channel();
         let worker = LinkWorker {
@@ -104,7 +104,7 @@
     last_sent: u64,
     shared: Arc<PlannerShared>,
     address: String,
-    news: mpsc::UnboundedSender<LinkNews>,
+    news: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
     /// Tells that an order of the present link was not answered.
     order_lost: Arc<Notify>,
@@ -170,7 +170,7 @@
             // An agent that has just started may not have heard of its runner yet.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
-            let news = LinkNews::Report { address: self.address.clone(), report, is_new_link };
+            let news = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
             is_new_link &= !names_runner;
             if self.news.send(news).is_err() {
                 return "planning ended".to_string();
@@ -196,7 +196,7 @@
                     Ok(Ok(report)) => Ok(report),
                     Ok(Err(stale)) => {
                         // A planner that has ended needs no news.
-                        let _ = self.news.send(LinkNews::Replaced(stale.newest));
+                        let _ = self.news.send(LinkEvent::Replaced(stale.newest));
                         Err(stale.to_string())
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -18,7 +18,7 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::decision_log::log_decision;
-use crate::process::planning::node_link::LinkNews;
+use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderParcel;
 use crate::process::planning::ownership::OwnerProof;
@@ -63,7 +63,7 @@
     agents: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
     disputed: BTreeSet<(InstanceId, String)>,
-    news: mpsc::UnboundedSender<LinkNews>,
+    news: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) pulse_due: Instant,
     pub(super) learned_due: Instant,
@@ -106,7 +106,7 @@
         }
     }
 
-    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkNews>) -> StepResult {
+    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
@@ -233,9 +233,9 @@
         }
     }
 
-    fn on_news(&mut self, news: LinkNews) -> StepResult {
+    fn on_news(&mut self, news: LinkEvent) -> StepResult {
         match news {
-            LinkNews::Report { address, mut report, is_new_link } => {
+            LinkEvent::Report { address, mut report, is_new_link } => {
                 report.former.retain(|life| self.may_end(&address, life));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
@@ -244,11 +244,11 @@
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
             }
-            LinkNews::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
+            LinkEvent::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
                 Err(format!("an agent knows epoch {}", newest.epoch))
             }
             // An own link that was replaced by a newer one of its own.
-            LinkNews::Replaced(_) => Ok(()),
+            LinkEvent::Replaced(_) => Ok(()),
         }
     }
 
--- a/tests/node_link.rs
+++ b/tests/node_link.rs
@@ -15,7 +15,7 @@
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::rpc_client::framed;
 use greengagearch::platform::store_client::StoreClient;
-use greengagearch::process::planning::node_link::LinkNews;
+use greengagearch::process::planning::node_link::LinkEvent;
 use greengagearch::process::planning::node_link::NodeLink;
 use greengagearch::process::planning::node_link::OrderParcel;
 use greengagearch::process::planning::settings::PlannerSettings;
@@ -80,7 +80,7 @@
     address
 }
 
-async fn spawn_link() -> (NodeLink, mpsc::UnboundedReceiver<LinkNews>) {
+async fn spawn_link() -> (NodeLink, mpsc::UnboundedReceiver<LinkEvent>) {
     let settings = PlannerSettings::parse("planner.ini", SETTINGS).unwrap();
     let store = Arc::new(StoreClient::open("127.0.0.1:1"));
     let shared = Arc::new(PlannerShared::new(settings, store, None));
@@ -89,9 +89,9 @@
 }
 
 /// Whether the next report is told to come over a new link, and whether it names a runner.
-async fn next_report(news: &mut mpsc::UnboundedReceiver<LinkNews>) -> (bool, bool) {
+async fn next_report(news: &mut mpsc::UnboundedReceiver<LinkEvent>) -> (bool, bool) {
     match news.recv().await {
-        Some(LinkNews::Report { is_new_link, report, .. }) => {
+        Some(LinkEvent::Report { is_new_link, report, .. }) => {
             (is_new_link, report.runner.is_some())
         }
         other => panic!("{other:?}"),
