--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -39,7 +39,7 @@
 
 /// Orders on their way to one life of a runner.
 #[derive(Clone, Debug)]
-pub struct OrderParcel {
+pub struct OrderBatch {
     /// The life.
     pub instance: InstanceId,
     /// Number of the orders.
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct NodeLink {
     /// Takes orders.
-    pub orders: mpsc::UnboundedSender<OrderParcel>,
+    pub orders: mpsc::UnboundedSender<OrderBatch>,
     running: JoinHandle<()>,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl LinkWorker {
-    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderParcel>) {
+    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderBatch>) {
         let mut was_up = true;
         loop {
             self.stamp.link += 1;
@@ -151,7 +151,7 @@
     async fn serve(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderParcel>,
+        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
     ) -> String {
         let mut call = SyncCall {
             stamp: self.stamp,
@@ -182,7 +182,7 @@
     async fn exchange(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderParcel>,
+        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
         let limit = call.wait + ANSWER_SLACK;
@@ -210,7 +210,7 @@
         }
     }
 
-    fn send(&mut self, client: &NodeRpcClient, parcel: OrderParcel) {
+    fn send(&mut self, client: &NodeRpcClient, parcel: OrderBatch) {
         let call = OrderCall {
             stamp: self.stamp,
             instance: parcel.instance,
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -20,7 +20,7 @@
 use crate::process::planning::decision_log::log_decision;
 use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
-use crate::process::planning::node_link::OrderParcel;
+use crate::process::planning::node_link::OrderBatch;
 use crate::process::planning::ownership::OwnerProof;
 use crate::process::planning::planner_writes::LEARNED_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
@@ -334,7 +334,7 @@
             let link = self.agents.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
                 // A link that has ended is replaced, and its orders are sent anew.
-                let _ = link.orders.send(OrderParcel { instance, number, orders });
+                let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
     }
--- a/tests/node_link.rs
+++ b/tests/node_link.rs
@@ -17,7 +17,7 @@
 use greengagearch::platform::store_client::StoreClient;
 use greengagearch::process::planning::node_link::LinkEvent;
 use greengagearch::process::planning::node_link::NodeLink;
-use greengagearch::process::planning::node_link::OrderParcel;
+use greengagearch::process::planning::node_link::OrderBatch;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::planning::shared::PlannerShared;
 use greengagearch::workflow::spec::RoomAmount;
@@ -112,7 +112,7 @@
 async fn a_link_over_which_an_order_was_lost_begins_anew() {
     let (link, mut news) = spawn_link().await;
     while next_report(&mut news).await.0 {}
-    let parcel = OrderParcel { instance: "i".to_string(), number: 1, orders: Vec::new() };
+    let parcel = OrderBatch { instance: "i".to_string(), number: 1, orders: Vec::new() };
     link.orders.send(parcel).unwrap();
     let anew = async { while !next_report(&mut news).await.0 {} };
     let limit = Duration::from_secs(60);
