--- a/src/process/planning/job_http.rs
+++ b/src/process/planning/job_http.rs
@@ -63,7 +63,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobAnswer {
+pub struct JobResponse {
     /// State of the job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub state: Option<String>,
@@ -130,7 +130,7 @@
         return failure(StatusCode::BAD_REQUEST, findings.join("; "));
     }
     match gate.submit(&request.id, spec, CallDeadline::after(CALL_WAIT)).await {
-        Ok(()) => Json(JobAnswer::default()).into_response(),
+        Ok(()) => Json(JobResponse::default()).into_response(),
         Err(refused) => refusal(&refused),
     }
 }
@@ -150,7 +150,7 @@
     match gate.status(&job, CallDeadline::after(CALL_WAIT)).await {
         Ok(Some(status)) => {
             let state = Some(state_word(status).to_string());
-            Json(JobAnswer { state, ..JobAnswer::default() }).into_response()
+            Json(JobResponse { state, ..JobResponse::default() }).into_response()
         }
         Ok(None) => failure(StatusCode::NOT_FOUND, format!("no job '{job}'")),
         Err(refused) => refusal(&refused),
@@ -159,7 +159,7 @@
 
 async fn cancel(State(gate): State<SharedGate>, Path(job): Path<JobId>) -> Response {
     match gate.cancel(&job, CallDeadline::after(CALL_WAIT)).await {
-        Ok(true) => Json(JobAnswer::default()).into_response(),
+        Ok(true) => Json(JobResponse::default()).into_response(),
         Ok(false) => failure(StatusCode::NOT_FOUND, format!("no job '{job}'")),
         Err(refused) => refusal(&refused),
     }
@@ -171,7 +171,7 @@
         return failure(StatusCode::NOT_FOUND, format!("no queue '{queue}'"));
     }
     let pending = Some(gate.pending(&queue));
-    Json(JobAnswer { pending, ..JobAnswer::default() }).into_response()
+    Json(JobResponse { pending, ..JobResponse::default() }).into_response()
 }
 
 fn state_word(status: JobStatus) -> &'static str {
@@ -195,5 +195,5 @@
 }
 
 fn failure(status: StatusCode, text: String) -> Response {
-    (status, Json(JobAnswer { error: Some(text), ..JobAnswer::default() })).into_response()
+    (status, Json(JobResponse { error: Some(text), ..JobResponse::default() })).into_response()
 }
--- a/standins/src/local_platform.rs
+++ b/standins/src/local_platform.rs
@@ -9,8 +9,8 @@
 use greengagearch::platform::store_client::StoreClient;
 use greengagearch::process::node::NodeProcess;
 use greengagearch::process::planning::PlannerProcess;
-use greengagearch::process::planning::job_http::JobAnswer;
 use greengagearch::process::planning::job_http::JobRequest;
+use greengagearch::process::planning::job_http::JobResponse;
 use greengagearch::process::planning::settings::NodeSettings;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::stop_signal::StopSignal;
@@ -131,7 +131,7 @@
 
 async fn state_of(client: &reqwest::Client, url: &str) -> Option<String> {
     let answer = client.get(url).send().await.ok()?;
-    answer.json::<JobAnswer>().await.ok()?.state
+    answer.json::<JobResponse>().await.ok()?.state
 }
 
 fn planner_settings(store: &str) -> Result<PlannerSettings, Error> {
--- a/tests/job_interface.rs
+++ b/tests/job_interface.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use greengagearch::process::planning::job_http::JobAnswer;
 use greengagearch::process::planning::job_http::JobRequest;
+use greengagearch::process::planning::job_http::JobResponse;
 use greengagearch::process::stop_signal::StopSwitch;
 use greengagearch_standins::local_platform::LocalPlatform;
 use greengagearch_standins::local_platform::example_job;
@@ -44,12 +44,12 @@
 
     async fn state(&self, job: &str) -> Option<String> {
         let answer = self.client.get(self.url(&format!("workflows/{job}"))).send().await.unwrap();
-        answer.json::<JobAnswer>().await.unwrap().state
+        answer.json::<JobResponse>().await.unwrap().state
     }
 
     async fn pending(&self, queue: &str) -> Option<u64> {
         let answer = self.client.get(self.url(&format!("queues/{queue}"))).send().await.unwrap();
-        answer.json::<JobAnswer>().await.unwrap().pending
+        answer.json::<JobResponse>().await.unwrap().pending
     }
 
     async fn until(&self, condition: impl AsyncFn() -> bool) {
@@ -120,7 +120,7 @@
     });
     let answer = desk.client.post(desk.url("workflows")).json(&misspelt).send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::UNPROCESSABLE_ENTITY);
-    let error = answer.json::<JobAnswer>().await.unwrap().error.unwrap();
+    let error = answer.json::<JobResponse>().await.unwrap().error.unwrap();
     assert_eq!(error, "unknown: colour, steps.1.max_per_host, steps.1.room.milicores");
     let large = JobRequest { payload: "x".repeat(70_000), ..example_job("d") };
     assert_eq!(desk.submit(&large).await, StatusCode::PAYLOAD_TOO_LARGE);
