--- a/src/process/node/life_keeper.rs
+++ b/src/process/node/life_keeper.rs
@@ -19,7 +19,7 @@
 use crate::process::node::shared::NodeShared;
 use crate::process::planning::rows::HOST_PARTITION;
 use crate::process::planning::rows::LIFE_TABLE;
-use crate::process::planning::rows::LifeRow;
+use crate::process::planning::rows::RunnerInstancesRow;
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 
@@ -73,8 +73,8 @@
     }
 
     fn adopt(&mut self, row: Option<&StoredRow>) {
-        let stored: Option<LifeRow> = row.and_then(decode);
-        self.lives = stored.unwrap_or_default().lives;
+        let stored: Option<RunnerInstancesRow> = row.and_then(decode);
+        self.lives = stored.unwrap_or_default().instances;
         self.version = row.filter(|row| row.value.is_some()).map_or(0, |row| row.version);
     }
 
@@ -83,18 +83,18 @@
     }
 
     async fn add(&mut self, life: InstanceId) {
-        let mut lives = self.lives.clone();
-        lives.push(life);
-        let surplus = lives.len().saturating_sub(KEPT_LIVES);
-        lives.drain(..surplus);
-        let row = LifeRow { lives };
+        let mut instances = self.lives.clone();
+        instances.push(life);
+        let surplus = instances.len().saturating_sub(KEPT_LIVES);
+        instances.drain(..surplus);
+        let row = RunnerInstancesRow { instances };
         let transaction = RowTransaction {
             expected: vec![(self.name.clone(), self.version)],
             puts: vec![(self.name.clone(), encode(&row))],
             removes: Vec::new(),
         };
         match self.store.commit(&transaction).await {
-            Ok(version) => (self.lives, self.version) = (row.lives, version),
+            Ok(version) => (self.lives, self.version) = (row.instances, version),
             Err(RowError::Conflict { rows }) => self.adopt(rows.first()),
             Err(error) => {
                 self.pause_after(&error).await;
--- a/src/process/planning/rows.rs
+++ b/src/process/planning/rows.rs
@@ -79,9 +79,10 @@
 
 /// Which lives the runner on a host had.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeRow {
+pub struct RunnerInstancesRow {
     /// The lives, the newest last.
-    pub lives: Vec<InstanceId>,
+    #[serde(rename = "lives")]
+    pub instances: Vec<InstanceId>,
 }
 
 /// In how many partitions the jobs' rows are. The store carries out the transactions of one partition one after another, so that
