--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -110,8 +110,12 @@
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
-        let mut jobs =
-            TableFeed::spawn(self.shared.clone(), JOB_TABLE, layout.names(), Some(jobs_after));
+        let mut jobs = TableFeed::spawn(
+            self.shared.clone(),
+            JOB_TABLE,
+            layout.partition_names(),
+            Some(jobs_after),
+        );
         let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
         let mut tick = tokio::time::interval(TICK);
         while !self.shared.is_stopping() {
@@ -143,7 +147,7 @@
             if self.proof.has_predecessor { predecessors_expired(answered) } else { answered };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
-        let (jobs, version) = self.read_table(JOB_TABLE, &layout.names()).await?;
+        let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
         let own = [PARTITION.to_string()];
         let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
         let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
@@ -175,7 +179,7 @@
         if layout == JobLayout::default() {
             return Ok(());
         }
-        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().names()).await?;
+        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
         if !left.is_empty() {
             log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &left.len())]);
         }
--- a/src/process/planning/rows.rs
+++ b/src/process/planning/rows.rs
@@ -117,7 +117,7 @@
     }
 
     /// All partitions that have rows of jobs.
-    pub fn names(self) -> Vec<String> {
+    pub fn partition_names(self) -> Vec<String> {
         if self.partitions <= 1 {
             return vec![PARTITION.to_string()];
         }
--- a/tests/slow_store.rs
+++ b/tests/slow_store.rs
@@ -108,7 +108,7 @@
     }
     assert_eq!(
         counts.keys().cloned().collect::<BTreeSet<String>>(),
-        layout.names().into_iter().collect()
+        layout.partition_names().into_iter().collect()
     );
     assert!(counts.values().all(|count| (60..150).contains(count)), "{counts:?}");
 }
