--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -18,10 +18,10 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::decision_log::log_decision;
-use crate::process::planning::node_link::LinkNews;
+use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
-use crate::process::planning::node_link::OrderParcel;
-use crate::process::planning::office::OwnerProof;
+use crate::process::planning::node_link::OrderBatch;
+use crate::process::planning::ownership::OwnerProof;
 use crate::process::planning::planner_writes::LEARNED_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::written;
@@ -63,7 +63,7 @@
     agents: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
     disputed: BTreeSet<(InstanceId, String)>,
-    news: mpsc::UnboundedSender<LinkNews>,
+    news: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) pulse_due: Instant,
     pub(super) learned_due: Instant,
@@ -106,12 +106,16 @@
         }
     }
 
-    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkNews>) -> StepResult {
+    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
-        let mut jobs =
-            TableFeed::spawn(self.shared.clone(), JOB_TABLE, layout.names(), Some(jobs_after));
+        let mut jobs = TableFeed::spawn(
+            self.shared.clone(),
+            JOB_TABLE,
+            layout.partition_names(),
+            Some(jobs_after),
+        );
         let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
         let mut tick = tokio::time::interval(TICK);
         while !self.shared.is_stopping() {
@@ -146,7 +150,7 @@
         };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
-        let (jobs, version) = self.read_table(JOB_TABLE, &layout.names()).await?;
+        let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
         let own = [PARTITION.to_string()];
         let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
         let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
@@ -178,7 +182,7 @@
         if layout == JobLayout::default() {
             return Ok(());
         }
-        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().names()).await?;
+        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
         if !left.is_empty() {
             log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &left.len())]);
         }
@@ -236,9 +240,9 @@
         }
     }
 
-    fn on_news(&mut self, news: LinkNews) -> StepResult {
+    fn on_news(&mut self, news: LinkEvent) -> StepResult {
         match news {
-            LinkNews::Report { address, mut report, is_new_link } => {
+            LinkEvent::Report { address, mut report, is_new_link } => {
                 report.former.retain(|life| self.may_end(&address, life));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
@@ -247,11 +251,11 @@
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
             }
-            LinkNews::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
+            LinkEvent::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
                 Err(format!("an agent knows epoch {}", newest.epoch))
             }
             // An own link that was replaced by a newer one of its own.
-            LinkNews::Replaced(_) => Ok(()),
+            LinkEvent::Replaced(_) => Ok(()),
         }
     }
 
@@ -338,7 +342,7 @@
             let link = self.agents.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
                 // A link that has ended is replaced, and its orders are sent anew.
-                let _ = link.orders.send(OrderParcel { instance, number, orders });
+                let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
     }
