--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -17,7 +17,7 @@
 use greengagearch::request::pool_endpoint::AgentPlace;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
-use greengagearch::request::routing::RoutingWay;
+use greengagearch::request::routing::RoutingPolicy;
 use greengagearch::request::service_pool::ServicePool;
 use greengagearch::request::service_pool::SlotDecision;
 use greengagearch::request::task_plan::QueuedTask;
@@ -115,7 +115,7 @@
     let mut group = criterion.benchmark_group("route_and_release");
     for count in [11, 100] {
         let now = Instant::now();
-        let mut pool = ServicePool::new(RoutingWay::LocalFirst, "a".to_string(), 0.1);
+        let mut pool = ServicePool::new(RoutingPolicy::LocalFirst, "a".to_string(), 0.1);
         for number in 0..count {
             let place = AgentPlace {
                 worker: format!("w{number}"),
--- a/src/request/routing.rs
+++ b/src/request/routing.rs
@@ -8,7 +8,7 @@
 
 /// A way of choosing among endpoints with a free slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RoutingWay {
+pub enum RoutingPolicy {
     /// Any of them.
     Random,
     /// The one with the smallest load.
@@ -24,18 +24,18 @@
 /// The text named no routing way.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("allowed are random, least-loaded, two-choices and local-first"))]
-pub struct UnknownWay;
+pub struct UnknownRoutingPolicy;
 
-impl FromStr for RoutingWay {
-    type Err = UnknownWay;
+impl FromStr for RoutingPolicy {
+    type Err = UnknownRoutingPolicy;
 
-    fn from_str(text: &str) -> Result<RoutingWay, UnknownWay> {
+    fn from_str(text: &str) -> Result<RoutingPolicy, UnknownRoutingPolicy> {
         match text {
-            "random" => Ok(RoutingWay::Random),
-            "least-loaded" => Ok(RoutingWay::LeastLoaded),
-            "two-choices" => Ok(RoutingWay::TwoChoices),
-            "local-first" => Ok(RoutingWay::LocalFirst),
-            _ => Err(UnknownWay),
+            "random" => Ok(RoutingPolicy::Random),
+            "least-loaded" => Ok(RoutingPolicy::LeastLoaded),
+            "two-choices" => Ok(RoutingPolicy::TwoChoices),
+            "local-first" => Ok(RoutingPolicy::LocalFirst),
+            _ => Err(UnknownRoutingPolicy),
         }
     }
 }
@@ -59,24 +59,24 @@
 /// use rand::rngs::StdRng;
 ///
 /// use greengagearch::request::routing::RouteCandidate;
-/// use greengagearch::request::routing::RoutingWay;
+/// use greengagearch::request::routing::RoutingPolicy;
 /// use greengagearch::request::routing::choose;
 ///
 /// let busy = RouteCandidate { index: 0, is_local: true, load: 7.0 };
 /// let idle = RouteCandidate { index: 1, is_local: true, load: 0.0 };
 /// let mut rng = StdRng::seed_from_u64(1);
-/// assert_eq!(choose(RoutingWay::LeastLoaded, &[busy, idle], &mut rng), Some(1));
+/// assert_eq!(choose(RoutingPolicy::LeastLoaded, &[busy, idle], &mut rng), Some(1));
 /// ```
 pub fn choose<R: Rng>(
-    way: RoutingWay,
+    way: RoutingPolicy,
     candidates: &[RouteCandidate],
     rng: &mut R,
 ) -> Option<usize> {
     match way {
-        RoutingWay::Random => draw(candidates, rng).map(|candidate| candidate.index),
-        RoutingWay::LeastLoaded => least_loaded(candidates, rng),
-        RoutingWay::TwoChoices => two_choices(candidates, rng),
-        RoutingWay::LocalFirst => local_first(candidates, rng),
+        RoutingPolicy::Random => draw(candidates, rng).map(|candidate| candidate.index),
+        RoutingPolicy::LeastLoaded => least_loaded(candidates, rng),
+        RoutingPolicy::TwoChoices => two_choices(candidates, rng),
+        RoutingPolicy::LocalFirst => local_first(candidates, rng),
     }
 }
 
@@ -133,7 +133,9 @@
             .map(|index| candidate(index, true, if index == 2 { 5.0 } else { 1.0 }))
             .collect();
         let mut rng = StdRng::seed_from_u64(1);
-        for way in [RoutingWay::TwoChoices, RoutingWay::LocalFirst, RoutingWay::LeastLoaded] {
+        for way in
+            [RoutingPolicy::TwoChoices, RoutingPolicy::LocalFirst, RoutingPolicy::LeastLoaded]
+        {
             for _ in 0..200 {
                 assert_ne!(choose(way, &candidates, &mut rng), Some(2), "{way:?}");
             }
@@ -144,8 +146,8 @@
     fn others_are_chosen_only_when_none_is_local() {
         let mut rng = StdRng::seed_from_u64(1);
         let mixed = [candidate(0, false, 0.0), candidate(1, true, 9.0)];
-        assert_eq!(choose(RoutingWay::LocalFirst, &mixed, &mut rng), Some(1));
-        assert_eq!(choose(RoutingWay::LocalFirst, &mixed[..1], &mut rng), Some(0));
-        assert_eq!(choose(RoutingWay::LocalFirst, &[], &mut rng), None);
+        assert_eq!(choose(RoutingPolicy::LocalFirst, &mixed, &mut rng), Some(1));
+        assert_eq!(choose(RoutingPolicy::LocalFirst, &mixed[..1], &mut rng), Some(0));
+        assert_eq!(choose(RoutingPolicy::LocalFirst, &[], &mut rng), None);
     }
 }
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -22,7 +22,7 @@
 use crate::request::pool_endpoint::blend;
 use crate::request::retry_budget::RetryBudget;
 use crate::request::routing::RouteCandidate;
-use crate::request::routing::RoutingWay;
+use crate::request::routing::RoutingPolicy;
 use crate::request::routing::choose;
 
 /// Assumed time of a request before any was measured.
@@ -66,7 +66,7 @@
 /// Endpoints and queue of one service.
 #[derive(Debug)]
 pub struct ServicePool {
-    way: RoutingWay,
+    way: RoutingPolicy,
     domain: DomainName,
     endpoints: BTreeMap<EndpointKey, PoolEndpoint>,
     queue: DeadlineQueue,
@@ -79,13 +79,13 @@
     /// An empty pool of an entry in `domain`.
     ///
     /// ```
-    /// use greengagearch::request::routing::RoutingWay;
+    /// use greengagearch::request::routing::RoutingPolicy;
     /// use greengagearch::request::service_pool::ServicePool;
     ///
-    /// let pool = ServicePool::new(RoutingWay::LocalFirst, "wien-a".into(), 0.1);
+    /// let pool = ServicePool::new(RoutingPolicy::LocalFirst, "wien-a".into(), 0.1);
     /// assert_eq!(pool.queue_len(), 0);
     /// ```
-    pub fn new(way: RoutingWay, domain: DomainName, retry_share: f64) -> ServicePool {
+    pub fn new(way: RoutingPolicy, domain: DomainName, retry_share: f64) -> ServicePool {
         ServicePool {
             way,
             domain,
@@ -99,12 +99,12 @@
     /// Puts the rules of a newer document in force.
     ///
     /// ```
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
-    /// pool.set_rules(RoutingWay::LocalFirst, 0.2);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
+    /// pool.set_rules(RoutingPolicy::LocalFirst, 0.2);
     /// ```
-    pub fn set_rules(&mut self, way: RoutingWay, retry_share: f64) {
+    pub fn set_rules(&mut self, way: RoutingPolicy, retry_share: f64) {
         self.way = way;
         self.budget.set_share(retry_share);
     }
@@ -112,9 +112,9 @@
     /// Number of waiting requests.
     ///
     /// ```
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert_eq!(pool.queue_len(), 0);
     /// ```
     pub fn queue_len(&self) -> usize {
@@ -124,9 +124,9 @@
     /// Number of endpoints that are announced and not leaving.
     ///
     /// ```
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert_eq!(pool.endpoint_count(), 0);
     /// ```
     pub fn endpoint_count(&self) -> usize {
@@ -137,9 +137,9 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert!(pool.statuses("spots", Instant::now()).is_empty());
     /// ```
     pub fn statuses(&self, service: &str, now: Instant) -> Vec<EndpointStatus> {
@@ -158,10 +158,10 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::pool_endpoint::{AgentPlace, EndpointReport};
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// let place = AgentPlace { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
     /// let report = EndpointReport { endpoint: "r1".into(), service: "spots".into(), slots: 8,
     ///     in_flight: 0, leaving: false };
@@ -181,9 +181,9 @@
     /// Drops all endpoints of a worker whose agent is silent.
     ///
     /// ```
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1).forget_worker("w1");
+    /// ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1).forget_worker("w1");
     /// ```
     pub fn forget_worker(&mut self, worker: &str) {
         self.endpoints.retain(|key, _| key.worker != worker);
@@ -194,9 +194,9 @@
     /// ```
     /// # use std::time::{Duration, Instant};
     /// # use greengagearch::request::deadline_queue::QueuedRequest;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::{ServicePool, SlotDecision};
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// let now = Instant::now();
     /// let deadline = now + Duration::from_secs(1);
     /// let request = QueuedRequest { ticket: 1, deadline, caller: "desk".into(), avoid: None };
@@ -226,10 +226,10 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::pool_endpoint::{EndpointKey, SlotResult};
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// let key = EndpointKey { worker: "w1".into(), endpoint: "r1".into(), incarnation: 1 };
     /// pool.release(&key, SlotResult::Failure, Instant::now());
     /// ```
@@ -249,10 +249,10 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::pool_endpoint::{EndpointKey, EndpointLoad};
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// let key = EndpointKey { worker: "w1".into(), endpoint: "r1".into(), incarnation: 1 };
     /// pool.on_load(&key, EndpointLoad { slots: 8, in_flight: 3 }, Instant::now());
     /// ```
@@ -266,9 +266,9 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert!(pool.poll(Instant::now(), &mut rand::rng()).is_empty());
     /// ```
     pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<TicketResult> {
@@ -292,9 +292,9 @@
     ///
     /// ```
     /// # use std::time::Instant;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let mut pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert!(!pool.cancel(Instant::now(), 1));
     /// ```
     pub fn cancel(&mut self, deadline: Instant, ticket: TicketNumber) -> bool {
@@ -305,9 +305,9 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// # use greengagearch::request::routing::RoutingWay;
+    /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// let pool = ServicePool::new(RoutingWay::Random, "wien-a".into(), 0.1);
+    /// let pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// assert_eq!(pool.mean_time(), Duration::from_millis(5));
     /// ```
     pub fn mean_time(&self) -> Duration {
--- a/src/version/document.rs
+++ b/src/version/document.rs
@@ -7,7 +7,7 @@
 use crate::ids::ServiceName;
 use crate::ids::TeamName;
 use crate::process::ini_reader::IniReader;
-use crate::request::routing::RoutingWay;
+use crate::request::routing::RoutingPolicy;
 
 /// Longest deadline that a document may allow.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
@@ -39,7 +39,7 @@
     /// Largest body in bytes.
     pub largest_body: usize,
     /// Way of choosing an endpoint.
-    pub routing: RoutingWay,
+    pub routing: RoutingPolicy,
     /// Whether an endpoint's slots are bounded by what is learned of it.
     pub adaptive_limit: bool,
     /// Retries after lost answers, as a share of the requests.
@@ -126,7 +126,7 @@
         default_deadline: reader.span("requests", "default-deadline", largest_deadline),
         largest_deadline,
         largest_body: reader.number("requests", "largest-body", 65_536, 1..=LARGEST_BODY) as usize,
-        routing: reader.value("guards", "routing", RoutingWay::default()),
+        routing: reader.value("guards", "routing", RoutingPolicy::default()),
         adaptive_limit: reader.flag("guards", "adaptive-limit", false),
         retry_share,
     }
--- a/tests/service_pool.rs
+++ b/tests/service_pool.rs
@@ -11,14 +11,14 @@
 use greengagearch::request::pool_endpoint::EndpointKey;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
-use greengagearch::request::routing::RoutingWay;
+use greengagearch::request::routing::RoutingPolicy;
 use greengagearch::request::service_pool::ServicePool;
 use greengagearch::request::service_pool::SlotDecision;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
 fn pool_of(slots: &[u32], now: Instant) -> ServicePool {
-    let mut pool = ServicePool::new(RoutingWay::LeastLoaded, "a".to_string(), 0.1);
+    let mut pool = ServicePool::new(RoutingPolicy::LeastLoaded, "a".to_string(), 0.1);
     for (number, slots) in slots.iter().enumerate() {
         let worker = format!("w{number}");
         let place = AgentPlace { worker, incarnation: 1, domain: "a".to_string() };
