--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -23,7 +23,7 @@
 use greengagearch::request::task_plan::QueuedTask;
 use greengagearch::request::task_plan::TeamShare;
 use greengagearch::request::task_plan::plan_starts;
-use greengagearch::request::worker_choice::PlacementWay;
+use greengagearch::request::worker_choice::PlacementPolicyKind;
 use greengagearch::request::worker_choice::WorkerView;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -90,7 +90,7 @@
 fn bench_plan(criterion: &mut Criterion) {
     let model = model();
     let mut group = criterion.benchmark_group("plan_18_starts_of_200_queued");
-    for way in [PlacementWay::LeastLoaded, PlacementWay::Pairwise] {
+    for way in [PlacementPolicyKind::LeastLoaded, PlacementPolicyKind::Pairwise] {
         let policy = way.policy(model.clone());
         for count in WORKERS {
             let name = BenchmarkId::new(format!("{way:?}"), count);
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -12,7 +12,7 @@
 use crate::ids::WorkerId;
 use crate::process::http_server::HttpLimits;
 use crate::process::ini_reader::IniReader;
-use crate::request::worker_choice::PlacementWay;
+use crate::request::worker_choice::PlacementPolicyKind;
 
 /// Length of a SHA-256 digest in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
@@ -52,7 +52,7 @@
     /// Writes a second that all entries together may send to the table service.
     pub write_rate: u64,
     /// Way of choosing a worker for a task.
-    pub placement: PlacementWay,
+    pub placement: PlacementPolicyKind,
     /// What the callers' listener bears.
     pub caller_limits: HttpLimits,
     /// Longest wait for requests in flight when stopping.
@@ -86,7 +86,7 @@
             key_hashes: read_key_hashes(&mut reader),
             timing: read_timing(&mut reader),
             write_rate: reader.number("platform", "writes-per-second", WRITE_RATE, WRITE_RANGE),
-            placement: reader.value("batch", "placement", PlacementWay::default()),
+            placement: reader.value("batch", "placement", PlacementPolicyKind::default()),
             caller_limits: read_limits(&mut reader),
             drain_limit: reader.span("entry", "drain-limit", Duration::from_secs(30)),
         };
--- a/src/request/worker_choice.rs
+++ b/src/request/worker_choice.rs
@@ -25,7 +25,7 @@
 
 /// A way of choosing among the workers that have room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlacementWay {
+pub enum PlacementPolicyKind {
     /// Any of them.
     Random,
     /// The first by name.
@@ -40,38 +40,38 @@
 /// The text named no placement way.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("allowed are random, first-fit, least-loaded and pairwise"))]
-pub struct UnknownPlacement;
+pub struct UnknownPlacementPolicy;
 
-impl FromStr for PlacementWay {
-    type Err = UnknownPlacement;
+impl FromStr for PlacementPolicyKind {
+    type Err = UnknownPlacementPolicy;
 
-    fn from_str(text: &str) -> Result<PlacementWay, UnknownPlacement> {
+    fn from_str(text: &str) -> Result<PlacementPolicyKind, UnknownPlacementPolicy> {
         match text {
-            "random" => Ok(PlacementWay::Random),
-            "first-fit" => Ok(PlacementWay::FirstFit),
-            "least-loaded" => Ok(PlacementWay::LeastLoaded),
-            "pairwise" => Ok(PlacementWay::Pairwise),
-            _ => Err(UnknownPlacement),
+            "random" => Ok(PlacementPolicyKind::Random),
+            "first-fit" => Ok(PlacementPolicyKind::FirstFit),
+            "least-loaded" => Ok(PlacementPolicyKind::LeastLoaded),
+            "pairwise" => Ok(PlacementPolicyKind::Pairwise),
+            _ => Err(UnknownPlacementPolicy),
         }
     }
 }
 
-impl PlacementWay {
+impl PlacementPolicyKind {
     /// The policy of this way.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
-    /// use greengagearch::request::worker_choice::PlacementWay;
+    /// use greengagearch::request::worker_choice::PlacementPolicyKind;
     ///
-    /// let policy = PlacementWay::Random.policy(Arc::default());
+    /// let policy = PlacementPolicyKind::Random.policy(Arc::default());
     /// ```
     pub fn policy(self, model: Arc<InterferenceModel>) -> Box<dyn PlacementPolicy> {
         match self {
-            PlacementWay::Random => Box::new(RandomPlacement),
-            PlacementWay::FirstFit => Box::new(FirstFit),
-            PlacementWay::LeastLoaded => Box::new(LeastLoaded),
-            PlacementWay::Pairwise => Box::new(PairwisePlacement { model }),
+            PlacementPolicyKind::Random => Box::new(RandomPlacement),
+            PlacementPolicyKind::FirstFit => Box::new(FirstFit),
+            PlacementPolicyKind::LeastLoaded => Box::new(LeastLoaded),
+            PlacementPolicyKind::Pairwise => Box::new(PairwisePlacement { model }),
         }
     }
 }
--- a/tests/worker_choice.rs
+++ b/tests/worker_choice.rs
@@ -11,7 +11,7 @@
 use greengagearch::request::worker_choice::LOAD_SLACK;
 use greengagearch::request::worker_choice::PairwisePlacement;
 use greengagearch::request::worker_choice::PlacementPolicy;
-use greengagearch::request::worker_choice::PlacementWay;
+use greengagearch::request::worker_choice::PlacementPolicyKind;
 use greengagearch::request::worker_choice::WorkerView;
 use greengagearch::request::worker_choice::place;
 use rand::SeedableRng;
@@ -50,7 +50,7 @@
 #[test]
 fn a_task_goes_where_its_pair_is_mild() {
     let pairs = [("tender", "roster", 0.8), ("tough", "roster", 0.01)];
-    let policy = PlacementWay::Pairwise.policy(model(&pairs));
+    let policy = PlacementPolicyKind::Pairwise.policy(model(&pairs));
     let mut rng = StdRng::seed_from_u64(1);
     let mut views = views();
     policy.prepare(&mut views);
@@ -61,7 +61,7 @@
 #[test]
 fn pairs_never_part_loads_by_more_than_the_slack() {
     let pairs = [("tender", "roster", 2.0), ("tough", "roster", 0.0)];
-    let policy = PlacementWay::Pairwise.policy(model(&pairs));
+    let policy = PlacementPolicyKind::Pairwise.policy(model(&pairs));
     let mut rng = StdRng::seed_from_u64(1);
     let mut views = views();
     policy.prepare(&mut views);
