--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -14,6 +14,8 @@
 use greengagearch::process::interference::InterferenceModel;
 use greengagearch::process::interference::InterferenceSample;
 use greengagearch::request::deadline_queue::QueuedRequest;
+use greengagearch::request::placement_policy::PlacementPolicyKind;
+use greengagearch::request::placement_policy::WorkerView;
 use greengagearch::request::pool_endpoint::AgentPlace;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
@@ -23,8 +25,6 @@
 use greengagearch::request::task_plan::QueuedTask;
 use greengagearch::request::task_plan::TeamShare;
 use greengagearch::request::task_plan::plan_starts;
-use greengagearch::request::worker_choice::PlacementPolicyKind;
-use greengagearch::request::worker_choice::WorkerView;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
--- a/src/process/entry/scheduler.rs
+++ b/src/process/entry/scheduler.rs
@@ -48,10 +48,10 @@
 use crate::request::job::job_key;
 use crate::request::job::job_tasks_prefix;
 use crate::request::job::task_prefix;
+use crate::request::placement_policy::WorkerView;
 use crate::request::task_plan::QueuedTask;
 use crate::request::task_plan::TeamShare;
 use crate::request::task_plan::plan_starts;
-use crate::request::worker_choice::WorkerView;
 
 /// Time between two steps; news of changed tasks collect in between.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/process/settings.rs
+++ b/src/process/settings.rs
@@ -12,7 +12,7 @@
 use crate::ids::WorkerId;
 use crate::process::http_server::HttpLimits;
 use crate::process::ini_reader::IniReader;
-use crate::request::worker_choice::PlacementPolicyKind;
+use crate::request::placement_policy::PlacementPolicyKind;
 
 /// Length of a SHA-256 digest in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
--- a/src/request/worker_choice.rs
+++ b/src/request/placement_policy.rs
@@ -62,7 +62,7 @@
     /// ```
     /// use std::sync::Arc;
     ///
-    /// use greengagearch::request::worker_choice::PlacementPolicyKind;
+    /// use greengagearch::request::placement_policy::PlacementPolicyKind;
     ///
     /// let policy = PlacementPolicyKind::Random.policy(Arc::default());
     /// ```
@@ -102,7 +102,7 @@
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let view = WorkerView::empty("w1", host);
@@ -115,7 +115,7 @@
     /// A worker on which nothing runs.
     ///
     /// ```
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// assert_eq!(WorkerView::empty("w1", Default::default()).worker, "w1");
     /// ```
@@ -137,7 +137,7 @@
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let mut view = WorkerView::empty("w1", host);
@@ -152,7 +152,7 @@
     ///
     /// ```
     /// # use greengagearch::external::worker::ResourceAmount;
-    /// # use greengagearch::request::worker_choice::WorkerView;
+    /// # use greengagearch::request::placement_policy::WorkerView;
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let mut view = WorkerView::empty("w1", host);
     /// view.take(&host, "roster");
@@ -169,7 +169,7 @@
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
-/// use greengagearch::request::worker_choice::dominant_share;
+/// use greengagearch::request::placement_policy::dominant_share;
 ///
 /// let whole = ResourceAmount { millicores: 4, memory_mib: 8, accelerators: 0 };
 /// let amount = ResourceAmount { millicores: 1, memory_mib: 4, accelerators: 0 };
@@ -306,8 +306,8 @@
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
-/// use greengagearch::request::worker_choice::FirstFit;
-/// use greengagearch::request::worker_choice::place;
+/// use greengagearch::request::placement_policy::FirstFit;
+/// use greengagearch::request::placement_policy::place;
 ///
 /// let amount = ResourceAmount::default();
 /// assert_eq!(place(&FirstFit, &[], &amount, "roster", &[], &mut rand::rng()), None);
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -14,10 +14,10 @@
 use crate::ids::TeamName;
 use crate::ids::WorkerId;
 use crate::process::interference::KindName;
-use crate::request::worker_choice::PlacementPolicy;
-use crate::request::worker_choice::WorkerView;
-use crate::request::worker_choice::dominant_share;
-use crate::request::worker_choice::place;
+use crate::request::placement_policy::PlacementPolicy;
+use crate::request::placement_policy::WorkerView;
+use crate::request::placement_policy::dominant_share;
+use crate::request::placement_policy::place;
 
 /// Waiting time after which a task goes before the teams' shares.
 const LONG_WAIT: Duration = Duration::from_secs(600);
@@ -68,7 +68,7 @@
 /// ```
 /// use std::collections::BTreeMap;
 ///
-/// use greengagearch::request::worker_choice::LeastLoaded;
+/// use greengagearch::request::placement_policy::LeastLoaded;
 /// use greengagearch::request::task_plan::plan_starts;
 ///
 /// let mut teams = BTreeMap::new();
@@ -151,7 +151,7 @@
     use rand::rngs::StdRng;
 
     use super::*;
-    use crate::request::worker_choice::LeastLoaded;
+    use crate::request::placement_policy::LeastLoaded;
 
     fn amount(millicores: u64) -> ResourceAmount {
         ResourceAmount { millicores, memory_mib: millicores, accelerators: 0 }
