--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -16,7 +16,7 @@
 use greengagearch::request::deadline_queue::QueuedRequest;
 use greengagearch::request::placement_policy::PlacementPolicyKind;
 use greengagearch::request::placement_policy::WorkerView;
-use greengagearch::request::pool_endpoint::AgentPlace;
+use greengagearch::request::pool_endpoint::AgentLocation;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
 use greengagearch::request::routing::RoutingPolicy;
@@ -117,7 +117,7 @@
         let now = Instant::now();
         let mut pool = ServicePool::new(RoutingPolicy::LocalFirst, "a".to_string(), 0.1);
         for number in 0..count {
-            let place = AgentPlace {
+            let place = AgentLocation {
                 worker: format!("w{number}"),
                 incarnation: 1,
                 domain: ["a", "b", "c"][number % 3].to_string(),
--- a/src/process/entry/pool_set.rs
+++ b/src/process/entry/pool_set.rs
@@ -18,7 +18,7 @@
 use crate::process::entry::shared::EntryShared;
 use crate::request::deadline_queue::QueuedRequest;
 use crate::request::deadline_queue::TicketNumber;
-use crate::request::pool_endpoint::AgentPlace;
+use crate::request::pool_endpoint::AgentLocation;
 use crate::request::pool_endpoint::EndpointKey;
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::EndpointReport;
@@ -128,7 +128,7 @@
     }
 
     /// Takes in an agent's report of its endpoints.
-    pub fn on_report(&self, place: &AgentPlace, reports: &[EndpointReport]) {
+    pub fn on_report(&self, place: &AgentLocation, reports: &[EndpointReport]) {
         let now = clock::now();
         let mut state = self.lock();
         for report in reports {
--- a/src/process/entry/process_news.rs
+++ b/src/process/entry/process_news.rs
@@ -10,13 +10,13 @@
 use crate::ids::ServiceName;
 use crate::process::clock;
 use crate::process::interference::KindName;
-use crate::request::pool_endpoint::AgentPlace;
+use crate::request::pool_endpoint::AgentLocation;
 
 /// What an entry last heard of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentNews {
     /// Worker, incarnation and domain.
-    pub place: AgentPlace,
+    pub place: AgentLocation,
     /// Number of the heartbeat.
     pub number: u64,
     /// Address of its internal listener.
@@ -70,7 +70,7 @@
 
     fn news(incarnation: IncarnationId, number: u64, epoch: LeaseEpoch) -> AgentNews {
         AgentNews {
-            place: AgentPlace { worker: "w".to_string(), incarnation, domain: String::new() },
+            place: AgentLocation { worker: "w".to_string(), incarnation, domain: String::new() },
             number,
             address: String::new(),
             epoch,
--- a/src/process/entry/rpc.rs
+++ b/src/process/entry/rpc.rs
@@ -40,7 +40,7 @@
 use crate::process::rpc_server::spawn_rpc_server;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
-use crate::request::pool_endpoint::AgentPlace;
+use crate::request::pool_endpoint::AgentLocation;
 use crate::version::catalog::DocumentCatalog;
 use crate::version::catalog::DocumentSet;
 
@@ -98,7 +98,7 @@
 
     /// Records what a heartbeat tells of its agent; gives whether it is the newest of the
     /// agent's newest run.
-    fn take_news(&self, beat: &AgentBeat, place: &AgentPlace) -> bool {
+    fn take_news(&self, beat: &AgentBeat, place: &AgentLocation) -> bool {
         let mut news = AgentNews {
             place: place.clone(),
             number: beat.number,
@@ -129,7 +129,7 @@
 
 impl EntryRpc for EntryServer {
     async fn agent_beat(self, _: Context, beat: AgentBeat) -> BeatReply {
-        let place = AgentPlace {
+        let place = AgentLocation {
             worker: beat.worker.clone(),
             incarnation: beat.incarnation,
             domain: beat.domain.clone(),
--- a/src/request/pool_endpoint.rs
+++ b/src/request/pool_endpoint.rs
@@ -57,7 +57,7 @@
 
 /// Places of one agent's endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentPlace {
+pub struct AgentLocation {
     /// The worker.
     pub worker: WorkerId,
     /// The run of its agent.
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -11,7 +11,7 @@
 use crate::request::deadline_queue::QueuedRequest;
 use crate::request::deadline_queue::TicketNumber;
 use crate::request::outcome::NotRunReason;
-use crate::request::pool_endpoint::AgentPlace;
+use crate::request::pool_endpoint::AgentLocation;
 use crate::request::pool_endpoint::EndpointKey;
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::EndpointReport;
@@ -159,16 +159,16 @@
     /// ```
     /// # use std::time::Instant;
     /// # use greengagearch::request::routing::RoutingPolicy;
-    /// # use greengagearch::request::pool_endpoint::{AgentPlace, EndpointReport};
+    /// # use greengagearch::request::pool_endpoint::{AgentLocation, EndpointReport};
     /// # use greengagearch::request::service_pool::ServicePool;
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
-    /// let place = AgentPlace { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
+    /// let place = AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
     /// let report = EndpointReport { endpoint: "r1".into(), service: "spots".into(), slots: 8,
     ///     in_flight: 0, leaving: false };
     /// pool.on_report(&place, &[report], Instant::now());
     /// assert_eq!(pool.endpoint_count(), 1);
     /// ```
-    pub fn on_report(&mut self, place: &AgentPlace, reports: &[EndpointReport], now: Instant) {
+    pub fn on_report(&mut self, place: &AgentLocation, reports: &[EndpointReport], now: Instant) {
         self.endpoints.retain(|key, _| {
             let is_reported = reports.iter().any(|report| report.endpoint == key.endpoint);
             key.worker != place.worker || (key.incarnation == place.incarnation && is_reported)
@@ -314,7 +314,7 @@
         Duration::from_secs_f64(self.mean_seconds)
     }
 
-    fn take_report(&mut self, place: &AgentPlace, report: &EndpointReport, now: Instant) {
+    fn take_report(&mut self, place: &AgentLocation, report: &EndpointReport, now: Instant) {
         let key = EndpointKey {
             worker: place.worker.clone(),
             endpoint: report.endpoint.clone(),
--- a/tests/service_pool.rs
+++ b/tests/service_pool.rs
@@ -7,7 +7,7 @@
 use greengagearch::request::deadline_queue::QueuedRequest;
 use greengagearch::request::deadline_queue::TicketNumber;
 use greengagearch::request::outcome::NotRunReason;
-use greengagearch::request::pool_endpoint::AgentPlace;
+use greengagearch::request::pool_endpoint::AgentLocation;
 use greengagearch::request::pool_endpoint::EndpointKey;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
@@ -21,7 +21,7 @@
     let mut pool = ServicePool::new(RoutingPolicy::LeastLoaded, "a".to_string(), 0.1);
     for (number, slots) in slots.iter().enumerate() {
         let worker = format!("w{number}");
-        let place = AgentPlace { worker, incarnation: 1, domain: "a".to_string() };
+        let place = AgentLocation { worker, incarnation: 1, domain: "a".to_string() };
         let report = EndpointReport {
             endpoint: "r".to_string(),
             service: "s".to_string(),
