--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -20,7 +20,7 @@
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
 use crate::request::outcome::body_digest;
-use crate::request::request_id::forget_time;
+use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_time;
 use crate::request::request_journal::JournalVerdict;
 use crate::request::request_journal::SettleAnswer;
@@ -54,7 +54,7 @@
         return RequestOutcome::not_run(NotRunReason::IdInFuture);
     };
     let window = order.window.max(shared.window_of(&order.request.service));
-    match begin(&shared, id, order.epoch, forget_time(time, window)) {
+    match begin(&shared, id, order.epoch, expiry_time(time, window)) {
         Begun::Ended(outcome) => outcome,
         Begun::Wait(receiver) => await_running(receiver, order.request.time_left).await,
         Begun::Run(sender) => {
@@ -83,9 +83,9 @@
 
 /// Looks an order up in the journal. The outcome to come is found and left under the journal's
 /// lock, so that nobody who is told to wait comes too late for it.
-fn begin(shared: &AgentShared, id: RequestId, epoch: LeaseEpoch, forget_at: Duration) -> Begun {
+fn begin(shared: &AgentShared, id: RequestId, epoch: LeaseEpoch, expires_at: Duration) -> Begun {
     let mut journal = shared.journal();
-    match journal.begin(id, epoch, forget_at) {
+    match journal.begin(id, epoch, expires_at) {
         JournalVerdict::Ended(outcome) => Begun::Ended(outcome),
         JournalVerdict::Refuse => Begun::Ended(RequestOutcome::not_run(NotRunReason::Tombstoned)),
         JournalVerdict::Run => {
@@ -196,6 +196,6 @@
     if !shared.is_journal_ready() {
         return SettleAnswer::NotReady;
     }
-    let forget_at = forget_time(time, question.window);
-    shared.journal().settle(question.id, question.epoch, time, forget_at)
+    let expires_at = expiry_time(time, question.window);
+    shared.journal().settle(question.id, question.epoch, time, expires_at)
 }
--- a/src/process/agent/heartbeat.rs
+++ b/src/process/agent/heartbeat.rs
@@ -22,7 +22,7 @@
             if members.is_empty() {
                 ask_balancer(&shared).await;
             }
-            forget_old_ids(&shared);
+            remove_expired_ids(&shared);
             let samples = shared.observer().take_samples(SAMPLES_PER_BEAT);
             for member in members {
                 let shared = shared.clone();
@@ -41,10 +41,10 @@
 }
 
 /// Forgets ids whose window has passed.
-fn forget_old_ids(shared: &AgentShared) {
+fn remove_expired_ids(shared: &AgentShared) {
     let remembered = {
         let mut journal = shared.journal();
-        journal.forget_old(shared.clock.wall());
+        journal.remove_expired(shared.clock.wall());
         journal.len()
     };
     shared.metrics.remembered_ids.set(i64::try_from(remembered).unwrap_or(i64::MAX));
--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -27,7 +27,7 @@
 use crate::request::pool_endpoint::SlotResult;
 use crate::request::request_id::CLOCK_SKEW;
 use crate::request::request_id::IdAge;
-use crate::request::request_id::forget_time;
+use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_age;
 use crate::request::request_id::id_time;
 use crate::request::request_id::id_window;
@@ -149,7 +149,7 @@
         IdAge::InFuture => return RequestOutcome::not_run(NotRunReason::IdInFuture).into(),
     }
     let id = request.id;
-    match shared.ledger.begin(id, request.digest, forget_time(time, window)) {
+    match shared.ledger.begin(id, request.digest, expiry_time(time, window)) {
         DeskVerdict::Ended(outcome) => outcome.into(),
         DeskVerdict::Conflict => RequestOutcome::not_run(NotRunReason::BodyConflict).into(),
         DeskVerdict::Wait(receiver) => await_other(receiver, request.time_left).await.into(),
--- a/src/process/entry/ledger_desk.rs
+++ b/src/process/entry/ledger_desk.rs
@@ -40,7 +40,7 @@
 }
 
 impl LedgerDesk {
-    /// Looks an id up; it is kept until the wall-clock time `forget_at` at least.
+    /// Looks an id up; it is kept until the wall-clock time `expires_at` at least.
     ///
     /// ```
     /// use std::time::Duration;
@@ -51,9 +51,9 @@
     /// let verdict = LedgerDesk::default().begin(uuid::Uuid::now_v7(), 1, Duration::MAX);
     /// assert!(matches!(verdict, DeskVerdict::Run));
     /// ```
-    pub fn begin(&self, id: RequestId, digest: BodyDigest, forget_at: Duration) -> DeskVerdict {
+    pub fn begin(&self, id: RequestId, digest: BodyDigest, expires_at: Duration) -> DeskVerdict {
         let mut state = self.lock();
-        match state.ledger.begin(id, digest, forget_at) {
+        match state.ledger.begin(id, digest, expires_at) {
             LedgerVerdict::Run => DeskVerdict::Run,
             LedgerVerdict::Ended(outcome) => DeskVerdict::Ended(outcome),
             LedgerVerdict::Conflict => DeskVerdict::Conflict,
@@ -91,11 +91,11 @@
     ///
     /// use greengagearch::process::entry::ledger_desk::LedgerDesk;
     ///
-    /// assert_eq!(LedgerDesk::default().forget_old(Duration::ZERO), 0);
+    /// assert_eq!(LedgerDesk::default().remove_expired(Duration::ZERO), 0);
     /// ```
-    pub fn forget_old(&self, now: Duration) -> usize {
+    pub fn remove_expired(&self, now: Duration) -> usize {
         let mut state = self.lock();
-        state.ledger.forget_old(now);
+        state.ledger.remove_expired(now);
         state.ledger.len()
     }
 
--- a/src/process/entry/pool_set.rs
+++ b/src/process/entry/pool_set.rs
@@ -225,7 +225,7 @@
             if now >= next_upkeep {
                 next_upkeep = now + UPKEEP_INTERVAL;
                 forget_silent_agents(&shared);
-                shared.forget_old();
+                shared.remove_expired();
             }
         }
     });
--- a/src/process/entry/shared.rs
+++ b/src/process/entry/shared.rs
@@ -246,8 +246,8 @@
     }
 
     /// Forgets ids whose window has passed and entries that are long gone.
-    pub fn forget_old(&self) {
-        let remembered = self.ledger.forget_old(self.clock.wall());
+    pub fn remove_expired(&self) {
+        let remembered = self.ledger.remove_expired(self.clock.wall());
         self.metrics.remembered_ids.set(i64::try_from(remembered).unwrap_or(i64::MAX));
         self.peers().retain(|_, peer| clock::elapsed(peer.heard) < PEER_LIFE);
     }
--- a/src/request/id_memory.rs
+++ b/src/request/id_memory.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 struct RememberedId<S> {
     state: S,
-    forget_at: Duration,
+    expires_at: Duration,
 }
 
 /// Ids with a state each; every id is kept until its wall-clock time has come.
@@ -47,8 +47,8 @@
     /// memory.set(id, 7, Duration::MAX);
     /// assert_eq!(memory.get(&id), Some(&7));
     /// ```
-    pub fn set(&mut self, id: RequestId, state: S, forget_at: Duration) {
-        self.ids.insert(id, RememberedId { state, forget_at });
+    pub fn set(&mut self, id: RequestId, state: S, expires_at: Duration) {
+        self.ids.insert(id, RememberedId { state, expires_at });
     }
 
     /// Changes what is known of an id that is kept; the time until which it is kept stays.
@@ -84,11 +84,11 @@
     ///
     /// let mut memory = IdMemory::default();
     /// memory.set(uuid::Uuid::now_v7(), 7, Duration::from_secs(1));
-    /// memory.forget_old(Duration::from_secs(1), |_| false);
+    /// memory.remove_expired(Duration::from_secs(1), |_| false);
     /// assert!(memory.is_empty());
     /// ```
-    pub fn forget_old(&mut self, now: Duration, is_busy: impl Fn(&S) -> bool) {
-        self.ids.retain(|_, known| known.forget_at > now || is_busy(&known.state));
+    pub fn remove_expired(&mut self, now: Duration, is_busy: impl Fn(&S) -> bool) {
+        self.ids.retain(|_, known| known.expires_at > now || is_busy(&known.state));
     }
 
     /// All ids with what is known of each and the time until which it is kept.
@@ -99,7 +99,7 @@
     /// assert_eq!(IdMemory::<u32>::default().iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &S, Duration)> {
-        self.ids.iter().map(|(id, known)| (id, &known.state, known.forget_at))
+        self.ids.iter().map(|(id, known)| (id, &known.state, known.expires_at))
     }
 
     /// Number of ids.
--- a/src/request/request_id.rs
+++ b/src/request/request_id.rs
@@ -81,11 +81,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use greengagearch::request::request_id::forget_time;
+/// use greengagearch::request::request_id::expiry_time;
 ///
 /// let time = Duration::from_secs(100);
-/// assert_eq!(forget_time(time, Duration::from_secs(30)), Duration::from_secs(131));
+/// assert_eq!(expiry_time(time, Duration::from_secs(30)), Duration::from_secs(131));
 /// ```
-pub fn forget_time(time: Duration, window: Duration) -> Duration {
+pub fn expiry_time(time: Duration, window: Duration) -> Duration {
     time + window + 2 * CLOCK_SKEW
 }
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -159,7 +159,7 @@
         JournalHandover {
             epoch,
             remembers_since: self.remembers_since,
-            ids: ran.map(|(id, _, forget_at)| (*id, forget_at)).collect(),
+            ids: ran.map(|(id, _, expires_at)| (*id, expires_at)).collect(),
         }
     }
 
@@ -176,9 +176,9 @@
     pub fn take_over(&mut self, handover: JournalHandover) {
         self.remembers_since = handover.remembers_since;
         let outcome = RequestOutcome::Unknown(UnknownReason::AnswerLost);
-        for (id, forget_at) in handover.ids {
+        for (id, expires_at) in handover.ids {
             if self.memory.get(&id).is_none() {
-                self.memory.set(id, JournalState::Ended(outcome.clone()), forget_at);
+                self.memory.set(id, JournalState::Ended(outcome.clone()), expires_at);
             }
         }
     }
@@ -200,14 +200,14 @@
         &mut self,
         id: RequestId,
         epoch: LeaseEpoch,
-        forget_at: Duration,
+        expires_at: Duration,
     ) -> JournalVerdict {
         match self.memory.get(&id) {
             Some(JournalState::Running) => JournalVerdict::Wait,
             Some(JournalState::Ended(outcome)) => JournalVerdict::Ended(outcome.clone()),
             Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalVerdict::Refuse,
             Some(JournalState::Tombstone(_)) | None => {
-                self.memory.set(id, JournalState::Running, forget_at);
+                self.memory.set(id, JournalState::Running, expires_at);
                 JournalVerdict::Run
             }
         }
@@ -257,7 +257,7 @@
         id: RequestId,
         epoch: LeaseEpoch,
         id_time: Duration,
-        forget_at: Duration,
+        expires_at: Duration,
     ) -> SettleAnswer {
         let epoch = match self.memory.get(&id) {
             Some(JournalState::Running) => return SettleAnswer::Running,
@@ -265,7 +265,7 @@
             Some(JournalState::Tombstone(newest)) => epoch.max(*newest),
             None => epoch,
         };
-        self.memory.set(id, JournalState::Tombstone(epoch), forget_at);
+        self.memory.set(id, JournalState::Tombstone(epoch), expires_at);
         if reaches_back(self.remembers_since, id_time) {
             SettleAnswer::NeverRun
         } else {
@@ -280,10 +280,10 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::ZERO).forget_old(Duration::from_secs(1));
+    /// RequestJournal::new(Duration::ZERO).remove_expired(Duration::from_secs(1));
     /// ```
-    pub fn forget_old(&mut self, now: Duration) {
-        self.memory.forget_old(now, |state| matches!(state, JournalState::Running));
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.memory.remove_expired(now, |state| matches!(state, JournalState::Running));
     }
 
     /// Number of ids that are remembered.
@@ -355,10 +355,10 @@
         before.begin(ran, 1, Duration::from_secs(90));
         let mut after = RequestJournal::new(Duration::from_secs(50));
         after.take_over(before.hand_over(1));
-        let (time, forget_at) = (Duration::from_secs(49), Duration::from_secs(90));
-        assert_eq!(after.settle(fresh, 2, time, forget_at), SettleAnswer::NeverRun);
-        assert_matches!(after.settle(ran, 2, time, forget_at), SettleAnswer::Ended(_));
-        assert_matches!(after.begin(ran, 2, forget_at), JournalVerdict::Ended(_));
+        let (time, expires_at) = (Duration::from_secs(49), Duration::from_secs(90));
+        assert_eq!(after.settle(fresh, 2, time, expires_at), SettleAnswer::NeverRun);
+        assert_matches!(after.settle(ran, 2, time, expires_at), SettleAnswer::Ended(_));
+        assert_matches!(after.begin(ran, 2, expires_at), JournalVerdict::Ended(_));
     }
 
     #[test]
@@ -366,7 +366,7 @@
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
-        journal.forget_old(Duration::from_secs(29));
+        journal.remove_expired(Duration::from_secs(29));
         assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalVerdict::Refuse);
     }
 }
--- a/src/request/request_ledger.rs
+++ b/src/request/request_ledger.rs
@@ -40,7 +40,7 @@
 
 impl RequestLedger {
     /// Looks an id up and marks it as in flight when it is new. It is kept until the wall-clock
-    /// time `forget_at` at least.
+    /// time `expires_at` at least.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,7 +58,7 @@
         &mut self,
         id: RequestId,
         digest: BodyDigest,
-        forget_at: Duration,
+        expires_at: Duration,
     ) -> LedgerVerdict {
         if let Some(entry) = self.memory.get(&id) {
             return match &entry.state {
@@ -68,7 +68,7 @@
             };
         }
         let entry = LedgerEntry { digest, state: LedgerState::InFlight };
-        self.memory.set(id, entry, forget_at);
+        self.memory.set(id, entry, expires_at);
         LedgerVerdict::Run
     }
 
@@ -106,11 +106,11 @@
     /// use greengagearch::request::request_ledger::RequestLedger;
     ///
     /// let mut ledger = RequestLedger::default();
-    /// ledger.forget_old(Duration::from_secs(1));
+    /// ledger.remove_expired(Duration::from_secs(1));
     /// assert_eq!(ledger.len(), 0);
     /// ```
-    pub fn forget_old(&mut self, now: Duration) {
-        self.memory.forget_old(now, |entry| matches!(entry.state, LedgerState::InFlight));
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.memory.remove_expired(now, |entry| matches!(entry.state, LedgerState::InFlight));
     }
 
     /// Number of ids that are remembered.
@@ -153,7 +153,7 @@
         let mut ledger = RequestLedger::default();
         let id = RequestId::now_v7();
         ledger.begin(id, 1, Duration::from_secs(1));
-        ledger.forget_old(Duration::from_secs(2));
+        ledger.remove_expired(Duration::from_secs(2));
         assert_eq!(ledger.begin(id, 1, Duration::from_secs(1)), LedgerVerdict::Wait);
     }
 }
