--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -22,7 +22,7 @@
 use crate::request::outcome::body_digest;
 use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_time;
-use crate::request::request_journal::JournalVerdict;
+use crate::request::request_journal::JournalDecision;
 use crate::request::request_journal::SettleAnswer;
 
 /// Header that tells the endpoint how long the request is worth running, in milliseconds.
@@ -86,14 +86,14 @@
 fn begin(shared: &AgentShared, id: RequestId, epoch: LeaseEpoch, expires_at: Duration) -> Begun {
     let mut journal = shared.journal();
     match journal.begin(id, epoch, expires_at) {
-        JournalVerdict::Ended(outcome) => Begun::Ended(outcome),
-        JournalVerdict::Refuse => Begun::Ended(RequestOutcome::not_run(NotRunReason::Tombstoned)),
-        JournalVerdict::Run => {
+        JournalDecision::Ended(outcome) => Begun::Ended(outcome),
+        JournalDecision::Refuse => Begun::Ended(RequestOutcome::not_run(NotRunReason::Tombstoned)),
+        JournalDecision::Run => {
             let (sender, receiver) = watch::channel(None);
             shared.running().insert(id, receiver);
             Begun::Run(sender)
         }
-        JournalVerdict::Wait => match shared.running().get(&id) {
+        JournalDecision::Wait => match shared.running().get(&id) {
             Some(receiver) => Begun::Wait(receiver.clone()),
             None => Begun::Ended(RequestOutcome::Unknown(UnknownReason::AnswerLost)),
         },
--- a/src/process/entry/ledger_desk.rs
+++ b/src/process/entry/ledger_desk.rs
@@ -11,7 +11,7 @@
 use crate::ids::BodyDigest;
 use crate::ids::RequestId;
 use crate::request::outcome::RequestOutcome;
-use crate::request::request_ledger::LedgerVerdict;
+use crate::request::request_ledger::LedgerDecision;
 use crate::request::request_ledger::RequestLedger;
 
 #[derive(Debug, Default)]
@@ -54,10 +54,10 @@
     pub fn begin(&self, id: RequestId, digest: BodyDigest, expires_at: Duration) -> DeskVerdict {
         let mut state = self.lock();
         match state.ledger.begin(id, digest, expires_at) {
-            LedgerVerdict::Run => DeskVerdict::Run,
-            LedgerVerdict::Ended(outcome) => DeskVerdict::Ended(outcome),
-            LedgerVerdict::Conflict => DeskVerdict::Conflict,
-            LedgerVerdict::Wait => {
+            LedgerDecision::Run => DeskVerdict::Run,
+            LedgerDecision::Ended(outcome) => DeskVerdict::Ended(outcome),
+            LedgerDecision::Conflict => DeskVerdict::Conflict,
+            LedgerDecision::Wait => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.entry(id).or_default().push(sender);
                 DeskVerdict::Wait(receiver)
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -25,7 +25,7 @@
 
 /// What to do with a dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JournalVerdict {
+pub enum JournalDecision {
     /// It is new: run it, then call [`RequestJournal::end`].
     Run,
     /// It is being run: wait for its outcome.
@@ -188,27 +188,27 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::request::request_journal::JournalVerdict;
+    /// use greengagearch::request::request_journal::JournalDecision;
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
     /// let mut journal = RequestJournal::new(Duration::ZERO);
     /// let id = uuid::Uuid::now_v7();
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Run);
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Wait);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Run);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Wait);
     /// ```
     pub fn begin(
         &mut self,
         id: RequestId,
         epoch: LeaseEpoch,
         expires_at: Duration,
-    ) -> JournalVerdict {
+    ) -> JournalDecision {
         match self.memory.get(&id) {
-            Some(JournalState::Running) => JournalVerdict::Wait,
-            Some(JournalState::Ended(outcome)) => JournalVerdict::Ended(outcome.clone()),
-            Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalVerdict::Refuse,
+            Some(JournalState::Running) => JournalDecision::Wait,
+            Some(JournalState::Ended(outcome)) => JournalDecision::Ended(outcome.clone()),
+            Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalDecision::Refuse,
             Some(JournalState::Tombstone(_)) | None => {
                 self.memory.set(id, JournalState::Running, expires_at);
-                JournalVerdict::Run
+                JournalDecision::Run
             }
         }
     }
@@ -242,7 +242,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::request::request_journal::JournalVerdict;
+    /// use greengagearch::request::request_journal::JournalDecision;
     /// use greengagearch::request::request_journal::RequestJournal;
     /// use greengagearch::request::request_journal::SettleAnswer;
     ///
@@ -250,7 +250,7 @@
     /// let id = uuid::Uuid::now_v7();
     /// let answer = journal.settle(id, 2, Duration::from_secs(60), Duration::MAX);
     /// assert_eq!(answer, SettleAnswer::NeverRun);
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Refuse);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Refuse);
     /// ```
     pub fn settle(
         &mut self,
@@ -326,7 +326,7 @@
         let answer =
             journal.settle(id, 2, Duration::from_millis(100_900), Duration::from_secs(200));
         assert_eq!(answer, SettleAnswer::CannotTell);
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(200)), JournalVerdict::Refuse);
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(200)), JournalDecision::Refuse);
     }
 
     #[test]
@@ -343,9 +343,9 @@
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalVerdict::Refuse);
-        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalVerdict::Run);
-        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalVerdict::Wait);
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalDecision::Refuse);
+        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalDecision::Run);
+        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalDecision::Wait);
     }
 
     #[test]
@@ -358,7 +358,7 @@
         let (time, expires_at) = (Duration::from_secs(49), Duration::from_secs(90));
         assert_eq!(after.settle(fresh, 2, time, expires_at), SettleAnswer::NeverRun);
         assert_matches!(after.settle(ran, 2, time, expires_at), SettleAnswer::Ended(_));
-        assert_matches!(after.begin(ran, 2, expires_at), JournalVerdict::Ended(_));
+        assert_matches!(after.begin(ran, 2, expires_at), JournalDecision::Ended(_));
     }
 
     #[test]
@@ -367,6 +367,6 @@
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
         journal.remove_expired(Duration::from_secs(29));
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalVerdict::Refuse);
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalDecision::Refuse);
     }
 }
--- a/src/request/request_ledger.rs
+++ b/src/request/request_ledger.rs
@@ -21,7 +21,7 @@
 
 /// What to do with a request whose id was looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LedgerVerdict {
+pub enum LedgerDecision {
     /// It is new here: run it, then call [`RequestLedger::end`].
     Run,
     /// It is being run: wait for its outcome.
@@ -45,31 +45,31 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::request::request_ledger::LedgerVerdict;
+    /// use greengagearch::request::request_ledger::LedgerDecision;
     /// use greengagearch::request::request_ledger::RequestLedger;
     ///
     /// let mut ledger = RequestLedger::default();
     /// let id = uuid::Uuid::now_v7();
-    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerVerdict::Run);
-    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerVerdict::Wait);
-    /// assert_eq!(ledger.begin(id, 2, Duration::MAX), LedgerVerdict::Conflict);
+    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerDecision::Run);
+    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerDecision::Wait);
+    /// assert_eq!(ledger.begin(id, 2, Duration::MAX), LedgerDecision::Conflict);
     /// ```
     pub fn begin(
         &mut self,
         id: RequestId,
         digest: BodyDigest,
         expires_at: Duration,
-    ) -> LedgerVerdict {
+    ) -> LedgerDecision {
         if let Some(entry) = self.memory.get(&id) {
             return match &entry.state {
-                _ if entry.digest != digest => LedgerVerdict::Conflict,
-                LedgerState::InFlight => LedgerVerdict::Wait,
-                LedgerState::Ended(outcome) => LedgerVerdict::Ended(outcome.clone()),
+                _ if entry.digest != digest => LedgerDecision::Conflict,
+                LedgerState::InFlight => LedgerDecision::Wait,
+                LedgerState::Ended(outcome) => LedgerDecision::Ended(outcome.clone()),
             };
         }
         let entry = LedgerEntry { digest, state: LedgerState::InFlight };
         self.memory.set(id, entry, expires_at);
-        LedgerVerdict::Run
+        LedgerDecision::Run
     }
 
     /// Records how a request ended. One that was provably not run is forgotten, so that its caller
@@ -80,14 +80,14 @@
     ///
     /// use greengagearch::request::outcome::NotRunReason;
     /// use greengagearch::request::outcome::RequestOutcome;
-    /// use greengagearch::request::request_ledger::LedgerVerdict;
+    /// use greengagearch::request::request_ledger::LedgerDecision;
     /// use greengagearch::request::request_ledger::RequestLedger;
     ///
     /// let mut ledger = RequestLedger::default();
     /// let id = uuid::Uuid::now_v7();
     /// ledger.begin(id, 1, Duration::MAX);
     /// ledger.end(id, &RequestOutcome::not_run(NotRunReason::NoEndpoint));
-    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerVerdict::Run);
+    /// assert_eq!(ledger.begin(id, 1, Duration::MAX), LedgerDecision::Run);
     /// ```
     pub fn end(&mut self, id: RequestId, outcome: &RequestOutcome) {
         if let RequestOutcome::NotRun { .. } = outcome {
@@ -145,7 +145,7 @@
         let outcome = RequestOutcome::Unknown(UnknownReason::AgentSilent);
         ledger.end(id, &outcome);
         let verdict = ledger.begin(id, 1, Duration::from_secs(10));
-        assert_eq!(verdict, LedgerVerdict::Ended(outcome));
+        assert_eq!(verdict, LedgerDecision::Ended(outcome));
     }
 
     #[test]
@@ -154,6 +154,6 @@
         let id = RequestId::now_v7();
         ledger.begin(id, 1, Duration::from_secs(1));
         ledger.remove_expired(Duration::from_secs(2));
-        assert_eq!(ledger.begin(id, 1, Duration::from_secs(1)), LedgerVerdict::Wait);
+        assert_eq!(ledger.begin(id, 1, Duration::from_secs(1)), LedgerDecision::Wait);
     }
 }
