--- a/src/process/agent/lease_keeper.rs
+++ b/src/process/agent/lease_keeper.rs
@@ -130,7 +130,7 @@
         };
         match row.decode::<JournalHandover>() {
             Ok(handover) if handover.epoch + 1 == epoch => {
-                self.shared.journal().take_over(handover);
+                self.shared.journal().import_handover(handover);
             }
             Ok(_) => {}
             Err(error) => log_event(Level::Warn, "row_malformed", &[("error", &error)]),
@@ -168,7 +168,7 @@
             worker.holder = 0;
             worker.released = true;
         }
-        let handover = self.shared.journal().hand_over(epoch);
+        let handover = self.shared.journal().export_handover(epoch);
         let journal_key = journal_key(&self.shared.settings.worker);
         let Ok(known) = self.shared.table.get(&journal_key).await else {
             return false;
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -73,7 +73,7 @@
     /// use greengagearch::request::request_journal::RequestJournal;
     /// use greengagearch::request::request_journal::SettleAnswer;
     ///
-    /// let handover = RequestJournal::new(Duration::ZERO).hand_over(1);
+    /// let handover = RequestJournal::new(Duration::ZERO).export_handover(1);
     /// let answer = handover.answer(&uuid::Uuid::now_v7(), Duration::from_secs(60));
     /// assert_eq!(answer, SettleAnswer::NeverRun);
     /// ```
@@ -150,9 +150,9 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// assert!(RequestJournal::new(Duration::ZERO).hand_over(1).ids.is_empty());
+    /// assert!(RequestJournal::new(Duration::ZERO).export_handover(1).ids.is_empty());
     /// ```
-    pub fn hand_over(&self, epoch: LeaseEpoch) -> JournalHandover {
+    pub fn export_handover(&self, epoch: LeaseEpoch) -> JournalHandover {
         let ran = self.memory.iter().filter(|(_, state, _)| {
             matches!(state, JournalState::Running | JournalState::Ended(_))
         });
@@ -170,10 +170,10 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// let before = RequestJournal::new(Duration::ZERO).hand_over(1);
-    /// RequestJournal::new(Duration::from_secs(9)).take_over(before);
+    /// let before = RequestJournal::new(Duration::ZERO).export_handover(1);
+    /// RequestJournal::new(Duration::from_secs(9)).import_handover(before);
     /// ```
-    pub fn take_over(&mut self, handover: JournalHandover) {
+    pub fn import_handover(&mut self, handover: JournalHandover) {
         self.remembers_since = handover.remembers_since;
         let outcome = RequestOutcome::Unknown(UnknownReason::AnswerLost);
         for (id, expires_at) in handover.ids {
@@ -354,7 +354,7 @@
         let (ran, fresh) = (RequestId::now_v7(), RequestId::now_v7());
         before.begin(ran, 1, Duration::from_secs(90));
         let mut after = RequestJournal::new(Duration::from_secs(50));
-        after.take_over(before.hand_over(1));
+        after.import_handover(before.export_handover(1));
         let (time, expires_at) = (Duration::from_secs(49), Duration::from_secs(90));
         assert_eq!(after.settle(fresh, 2, time, expires_at), SettleAnswer::NeverRun);
         assert_matches!(after.settle(ran, 2, time, expires_at), SettleAnswer::Ended(_));
