--- a/src/process/agent/lease_keeper.rs
+++ b/src/process/agent/lease_keeper.rs
@@ -106,10 +106,10 @@
         // The answer may be old; what it says held at some time after the claim was sent.
         holder.on_read(epoch, sent);
         if epoch == FIRST_EPOCH {
-            self.shared.journal().vouch_for_all();
+            self.shared.journal().set_complete();
         } else if !wait.is_zero() {
             // Until then an earlier run may still take orders that this one will never know of.
-            self.shared.journal().vouch_from(self.shared.clock.wall() + wait);
+            self.shared.journal().set_complete_from(self.shared.clock.wall() + wait);
         }
         self.shared.set_journal_ready();
         *self.shared.lease() = Some(WorkerLease { holder, acts_from });
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -124,9 +124,9 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::ZERO).vouch_from(Duration::from_secs(1));
+    /// RequestJournal::new(Duration::ZERO).set_complete_from(Duration::from_secs(1));
     /// ```
-    pub fn vouch_from(&mut self, time: Duration) {
+    pub fn set_complete_from(&mut self, time: Duration) {
         self.remembers_since = self.remembers_since.max(time);
     }
 
@@ -137,9 +137,9 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::from_secs(9)).vouch_for_all();
+    /// RequestJournal::new(Duration::from_secs(9)).set_complete();
     /// ```
-    pub fn vouch_for_all(&mut self) {
+    pub fn set_complete(&mut self) {
         self.remembers_since = Duration::ZERO;
     }
 
@@ -332,7 +332,7 @@
     #[test]
     fn the_first_run_of_all_vouches_for_every_id() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
-        journal.vouch_for_all();
+        journal.set_complete();
         let id = RequestId::now_v7();
         let answer = journal.settle(id, 2, Duration::from_secs(99), Duration::from_secs(200));
         assert_eq!(answer, SettleAnswer::NeverRun);
