--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -15,7 +15,7 @@
 use crate::ids::RequestId;
 use crate::process::agent::shared::AgentShared;
 use crate::process::clock;
-use crate::request::outcome::EndpointAnswer;
+use crate::request::outcome::EndpointResponse;
 use crate::request::outcome::NotRunReason;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
@@ -182,7 +182,7 @@
     let content_type = content_type.to_string();
     match response.bytes().await {
         Ok(body) => {
-            RequestOutcome::Answered(EndpointAnswer::new(status, content_type, body.to_vec()))
+            RequestOutcome::Answered(EndpointResponse::new(status, content_type, body.to_vec()))
         }
         Err(_) => RequestOutcome::Unknown(UnknownReason::AnswerLost),
     }
--- a/src/process/burn_cause.rs
+++ b/src/process/burn_cause.rs
@@ -163,11 +163,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::request::outcome::EndpointAnswer;
+    use crate::request::outcome::EndpointResponse;
 
     #[test]
     fn late_answers_are_blamed_on_what_made_them_late() {
-        let outcome = RequestOutcome::Answered(EndpointAnswer::new(200, String::new(), vec![]));
+        let outcome = RequestOutcome::Answered(EndpointResponse::new(200, String::new(), vec![]));
         let late = |queued, neighbour: Option<(&str, f64)>| EndedRequest {
             outcome: &outcome,
             time: Duration::from_millis(300),
--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -326,7 +326,7 @@
         return unknown(UnknownReason::AgentSilent);
     };
     let slot = match &reply.outcome {
-        RequestOutcome::Answered(answer) if !answer.is_whole() => {
+        RequestOutcome::Answered(answer) if !answer.is_intact() => {
             return unknown(UnknownReason::AnswerLost);
         }
         RequestOutcome::Answered(answer) if answer.status >= 500 => SlotResult::Failure,
--- a/src/process/entry/caller_http.rs
+++ b/src/process/entry/caller_http.rs
@@ -180,7 +180,7 @@
 /// is said only by who knows of earlier tries.
 fn vouched(outcome: RequestOutcome) -> RequestOutcome {
     match outcome {
-        RequestOutcome::NotRun { reason, .. } if reason.is_of_this_try_only() => {
+        RequestOutcome::NotRun { reason, .. } if reason.applies_to_this_attempt_only() => {
             RequestOutcome::Unknown(UnknownReason::NoOwner)
         }
         outcome => outcome,
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -14,7 +14,7 @@
 
 /// An answer of an endpoint, whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointAnswer {
+pub struct EndpointResponse {
     /// HTTP status that the endpoint gave.
     pub status: u16,
     /// Media type of the body.
@@ -25,30 +25,30 @@
     pub digest: BodyDigest,
 }
 
-impl EndpointAnswer {
+impl EndpointResponse {
     /// An answer with its digest.
     ///
     /// ```
-    /// use greengagearch::request::outcome::EndpointAnswer;
+    /// use greengagearch::request::outcome::EndpointResponse;
     ///
-    /// let answer = EndpointAnswer::new(200, "text/plain".into(), b"ok".to_vec());
-    /// assert!(answer.is_whole());
+    /// let answer = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
+    /// assert!(answer.is_intact());
     /// ```
-    pub fn new(status: u16, content_type: String, body: Vec<u8>) -> EndpointAnswer {
+    pub fn new(status: u16, content_type: String, body: Vec<u8>) -> EndpointResponse {
         let digest = body_digest(&body);
-        EndpointAnswer { status, content_type, body, digest }
+        EndpointResponse { status, content_type, body, digest }
     }
 
     /// Whether the body still has the digest that was taken of it.
     ///
     /// ```
-    /// use greengagearch::request::outcome::EndpointAnswer;
+    /// use greengagearch::request::outcome::EndpointResponse;
     ///
-    /// let mut answer = EndpointAnswer::new(200, "text/plain".into(), b"ok".to_vec());
+    /// let mut answer = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
     /// answer.body.pop();
-    /// assert!(!answer.is_whole());
+    /// assert!(!answer.is_intact());
     /// ```
-    pub fn is_whole(&self) -> bool {
+    pub fn is_intact(&self) -> bool {
         body_digest(&self.body) == self.digest
     }
 }
@@ -148,10 +148,10 @@
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
     ///
-    /// assert!(NotRunReason::NoOwner.is_of_this_try_only());
-    /// assert!(!NotRunReason::Overloaded.is_of_this_try_only());
+    /// assert!(NotRunReason::NoOwner.applies_to_this_attempt_only());
+    /// assert!(!NotRunReason::Overloaded.applies_to_this_attempt_only());
     /// ```
-    pub fn is_of_this_try_only(self) -> bool {
+    pub fn applies_to_this_attempt_only(self) -> bool {
         matches!(
             self,
             NotRunReason::NoOwner
@@ -229,7 +229,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
     /// An endpoint answered.
-    Answered(EndpointAnswer),
+    Answered(EndpointResponse),
     /// It was provably not run.
     NotRun {
         /// Why.
