--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -244,7 +244,8 @@
             SlotDecision::Granted(key) => key,
             SlotDecision::Queued => break,
             SlotDecision::Refused { reason, retry_after } => {
-                return RequestOutcome::NotRun { reason, retry_after }.after(was_unknown);
+                return RequestOutcome::NotRun { reason, retry_after }
+                    .combine_with_earlier(was_unknown);
             }
         };
         trace.worker = Some(key.worker.clone());
@@ -266,12 +267,12 @@
                 tries += 1;
                 avoid = Some(key);
             }
-            outcome => return outcome.after(was_unknown),
+            outcome => return outcome.combine_with_earlier(was_unknown),
         }
     }
     let refused =
         RequestOutcome::NotRun { reason: NotRunReason::Overloaded, retry_after: TRIES_PAUSE };
-    refused.after(was_unknown)
+    refused.combine_with_earlier(was_unknown)
 }
 
 async fn try_endpoint(
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -252,9 +252,9 @@
     ///
     /// let refused = RequestOutcome::not_run(NotRunReason::DeadlinePassed);
     /// let lost = UnknownReason::AnswerLost;
-    /// assert_eq!(refused.after(Some(lost)), RequestOutcome::Unknown(lost));
+    /// assert_eq!(refused.combine_with_earlier(Some(lost)), RequestOutcome::Unknown(lost));
     /// ```
-    pub fn after(self, earlier: Option<UnknownReason>) -> RequestOutcome {
+    pub fn combine_with_earlier(self, earlier: Option<UnknownReason>) -> RequestOutcome {
         match (earlier, self) {
             (Some(earlier), RequestOutcome::NotRun { .. }) => RequestOutcome::Unknown(earlier),
             (_, outcome) => outcome,
