--- a/src/process/entry/pool_set.rs
+++ b/src/process/entry/pool_set.rs
@@ -124,7 +124,7 @@
     /// Takes one retry out of the service's budget, if there is one left.
     pub fn try_retry(&self, service: &str) -> bool {
         let mut state = self.lock();
-        state.pools.get_mut(service).is_some_and(|pool| pool.budget.try_take())
+        state.pools.get_mut(service).is_some_and(|pool| pool.retry_budget.try_take())
     }
 
     /// Takes in an agent's report of its endpoints.
@@ -154,9 +154,9 @@
     }
 
     /// Drops the endpoints of a worker whose agent is silent.
-    pub fn forget_worker(&self, worker: &str) {
+    pub fn remove_worker(&self, worker: &str) {
         for pool in self.lock().pools.values_mut() {
-            pool.forget_worker(worker);
+            pool.remove_worker(worker);
         }
     }
 
@@ -189,7 +189,7 @@
         let pool = state.pools.entry(document.name.clone()).or_insert_with(|| self.new_pool());
         pool.set_rules(document.requests.routing, document.requests.retry_share);
         if avoid.is_none() {
-            pool.budget.on_request();
+            pool.retry_budget.on_request();
         }
         let request = QueuedRequest { ticket, deadline, caller: caller.to_string(), avoid };
         let (decision, displaced) = pool.request_slot(request, clock::now(), &mut rand::rng());
@@ -241,6 +241,6 @@
         silent.map(|agent| agent.place.worker.clone()).collect()
     };
     for worker in silent {
-        shared.pools.forget_worker(&worker);
+        shared.pools.remove_worker(&worker);
     }
 }
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -72,7 +72,7 @@
     queue: DeadlineQueue,
     mean_seconds: f64,
     /// Budget of retries after lost answers.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
 }
 
 impl ServicePool {
@@ -92,7 +92,7 @@
             endpoints: BTreeMap::new(),
             queue: DeadlineQueue::default(),
             mean_seconds: FIRST_TIME_GUESS.as_secs_f64(),
-            budget: RetryBudget::new(retry_share),
+            retry_budget: RetryBudget::new(retry_share),
         }
     }
 
@@ -106,7 +106,7 @@
     /// ```
     pub fn set_rules(&mut self, way: RoutingPolicy, retry_share: f64) {
         self.way = way;
-        self.budget.set_share(retry_share);
+        self.retry_budget.set_share(retry_share);
     }
 
     /// Number of waiting requests.
@@ -183,9 +183,9 @@
     /// ```
     /// # use greengagearch::request::routing::RoutingPolicy;
     /// # use greengagearch::request::service_pool::ServicePool;
-    /// ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1).forget_worker("w1");
+    /// ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1).remove_worker("w1");
     /// ```
-    pub fn forget_worker(&mut self, worker: &str) {
+    pub fn remove_worker(&mut self, worker: &str) {
         self.endpoints.retain(|key, _| key.worker != worker);
     }
 
