--- a/src/process/entry/job_http.rs
+++ b/src/process/entry/job_http.rs
@@ -23,13 +23,13 @@
 use crate::request::job::JobState;
 use crate::request::job::TaskRow;
 use crate::request::job::cancel_key;
-use crate::request::job::check_spec;
 use crate::request::job::job_key;
 use crate::request::job::job_name;
 use crate::request::job::job_partition;
 use crate::request::job::job_tasks_prefix;
 use crate::request::job::task_key;
 use crate::request::job::task_rows;
+use crate::request::job::validate_spec;
 
 /// Tries to commit before a submission's outcome is called unknown.
 const COMMIT_TRIES: usize = 4;
@@ -211,7 +211,7 @@
 }
 
 async fn check(shared: &EntryShared, spec: &JobSpec) -> Result<(), JobError> {
-    let findings = check_spec(spec);
+    let findings = validate_spec(spec);
     if !findings.is_empty() {
         return Err(JobError::Malformed { findings });
     }
--- a/src/process/entry/task_board.rs
+++ b/src/process/entry/task_board.rs
@@ -19,7 +19,7 @@
 use crate::request::job::TaskEnd;
 use crate::request::job::TaskRow;
 use crate::request::job::TaskState;
-use crate::request::job::cancelled_job;
+use crate::request::job::job_of_cancel_key;
 use crate::request::job::job_partition;
 use crate::request::job::job_tasks_prefix;
 use crate::request::job::task_key;
@@ -255,7 +255,7 @@
 fn read_rows(rows: Vec<TableRow>) -> Result<PartitionTasks, TableError> {
     let mut read = PartitionTasks::default();
     for row in rows {
-        if let Some(job) = cancelled_job(&row.key) {
+        if let Some(job) = job_of_cancel_key(&row.key) {
             read.cancelled.insert(job);
         } else {
             let task = VersionedRow { version: row.version, row: row.decode()? };
--- a/src/request/job.rs
+++ b/src/request/job.rs
@@ -261,11 +261,11 @@
 ///
 /// ```
 /// use greengagearch::request::job::cancel_key;
-/// use greengagearch::request::job::cancelled_job;
+/// use greengagearch::request::job::job_of_cancel_key;
 ///
-/// assert_eq!(cancelled_job(&cancel_key("planning/night")), Some("planning/night".into()));
+/// assert_eq!(job_of_cancel_key(&cancel_key("planning/night")), Some("planning/night".into()));
 /// ```
-pub fn cancelled_job(key: &str) -> Option<JobId> {
+pub fn job_of_cancel_key(key: &str) -> Option<JobId> {
     let (_, rest) = key.strip_prefix("task/")?.split_once('/')?;
     rest.strip_suffix("/cancel").map(str::to_string)
 }
@@ -302,12 +302,12 @@
 /// What is wrong with a submission, as one sentence each; empty when it is sound.
 ///
 /// ```
-/// # use greengagearch::request::job::{JobSpec, check_spec};
+/// # use greengagearch::request::job::{JobSpec, validate_spec};
 /// # let spec = JobSpec { id: "a/b".into(), team: "planning".into(), kind: "roster".into(),
 /// #     urgent: false, tasks: Vec::new() };
-/// assert_eq!(check_spec(&spec).len(), 2);
+/// assert_eq!(validate_spec(&spec).len(), 2);
 /// ```
-pub fn check_spec(spec: &JobSpec) -> Vec<String> {
+pub fn validate_spec(spec: &JobSpec) -> Vec<String> {
     let mut findings = Vec::new();
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     if spec.team.is_empty() || !spec.team.chars().all(is_plain) {
