--- a/src/process/agent/shared.rs
+++ b/src/process/agent/shared.rs
@@ -198,7 +198,7 @@
     /// Puts newer documents in force.
     pub fn adopt_documents(&self, set: DocumentSet) {
         let generation = set.generation;
-        if self.catalog().adopt(set) {
+        if self.catalog().apply(set) {
             let value = i64::try_from(generation).unwrap_or(i64::MAX);
             self.metrics.generation.set(value);
             // Operators wait for the report of what is in force.
--- a/src/process/entry/catalog_sync.rs
+++ b/src/process/entry/catalog_sync.rs
@@ -70,7 +70,7 @@
 /// Puts newer documents in force and tells peers and agents.
 pub fn put_in_force(shared: &Arc<EntryShared>, set: DocumentSet) {
     let generation = set.generation;
-    if shared.change_catalog(|catalog| catalog.adopt(set)) {
+    if shared.change_catalog(|catalog| catalog.apply(set)) {
         shared.metrics.generation.set(i64::try_from(generation).unwrap_or(i64::MAX));
         log_event(Level::Info, "in_force", &[("generation", &generation)]);
         tell_agents(shared, generation);
--- a/src/version/catalog.rs
+++ b/src/version/catalog.rs
@@ -104,11 +104,11 @@
     /// use greengagearch::version::catalog::DocumentSet;
     ///
     /// let mut catalog = DocumentCatalog::default();
-    /// assert!(catalog.adopt(DocumentSet { generation: 2, rows: Vec::new() }));
-    /// assert!(!catalog.adopt(DocumentSet { generation: 1, rows: Vec::new() }));
+    /// assert!(catalog.apply(DocumentSet { generation: 2, rows: Vec::new() }));
+    /// assert!(!catalog.apply(DocumentSet { generation: 1, rows: Vec::new() }));
     /// assert_eq!(catalog.generation(), 2);
     /// ```
-    pub fn adopt(&mut self, set: DocumentSet) -> bool {
+    pub fn apply(&mut self, set: DocumentSet) -> bool {
         if set.generation <= self.generation {
             return false;
         }
