--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -60,7 +60,7 @@
             (0..3).map(|one| format!("service-{}", (number + one) % SERVICES)).collect();
         for task in 0..23 {
             let amount = ResourceAmount { millicores: 1_000, memory_mib: 2_000, accelerators: 0 };
-            view.take(&amount, &format!("kind-{}", (number + task) % KINDS));
+            view.commit(&amount, &format!("kind-{}", (number + task) % KINDS));
         }
         view
     });
--- a/src/request/placement_policy.rs
+++ b/src/request/placement_policy.rs
@@ -155,10 +155,10 @@
     /// # use greengagearch::request::placement_policy::WorkerView;
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let mut view = WorkerView::empty("w1", host);
-    /// view.take(&host, "roster");
+    /// view.commit(&host, "roster");
     /// assert_eq!(view.free.millicores, 0);
     /// ```
-    pub fn take(&mut self, amount: &ResourceAmount, kind: &str) {
+    pub fn commit(&mut self, amount: &ResourceAmount, kind: &str) {
         self.free = self.free.minus(amount);
         self.starts_left = self.starts_left.map(|left| left.saturating_sub(1));
         *self.kinds.entry(kind.to_string()).or_default() += 1;
@@ -187,18 +187,19 @@
 }
 
 /// A worker that has room, with its position among all.
-pub type RoomyWorker<'a> = (usize, &'a WorkerView);
+pub type CandidateWorker<'a> = (usize, &'a WorkerView);
 
 /// Chooses one of the workers that have room for a task of a kind; gives its position.
 pub trait PlacementPolicy: Send + Sync {
     /// Chooses; nothing only when `roomy` is empty.
-    fn choose(&self, roomy: &[RoomyWorker<'_>], kind: &str, rng: &mut dyn Rng) -> Option<usize>;
+    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, rng: &mut dyn Rng)
+    -> Option<usize>;
 
     /// Must be told of the workers before the first choice among them.
     fn prepare(&self, _views: &mut [WorkerView]) {}
 
     /// Must be told of each task of a kind that a view takes.
-    fn on_taken(&self, _view: &mut WorkerView, _kind: &str) {}
+    fn on_committed(&self, _view: &mut WorkerView, _kind: &str) {}
 }
 
 /// Any worker with room.
@@ -231,7 +232,7 @@
 }
 
 impl PlacementPolicy for RandomPlacement {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, rng: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, rng: &mut dyn Rng) -> Option<usize> {
         if roomy.is_empty() {
             return None;
         }
@@ -240,20 +241,20 @@
 }
 
 impl PlacementPolicy for FirstFit {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
         roomy.first().map(|one| one.0)
     }
 }
 
 impl PlacementPolicy for LeastLoaded {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
         let shares = roomy.iter().map(|(index, view)| (*index, view.committed_share()));
         shares.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(index, _)| index)
     }
 }
 
 impl PlacementPolicy for PairwisePlacement {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], kind: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, _: &mut dyn Rng) -> Option<usize> {
         let shares: Vec<f64> = roomy.iter().map(|(_, view)| view.committed_share()).collect();
         let least = shares.iter().copied().fold(f64::INFINITY, f64::min);
         let mut added = AddedSlowdowns { model: &self.model, kind, known: HashMap::new() };
@@ -271,7 +272,7 @@
         }
     }
 
-    fn on_taken(&self, view: &mut WorkerView, kind: &str) {
+    fn on_committed(&self, view: &mut WorkerView, kind: &str) {
         for (service, slowdown) in view.services.iter().zip(&mut view.slowdowns) {
             *slowdown += self.model.estimate(service, kind).slowdown;
         }
@@ -307,12 +308,12 @@
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
 /// use greengagearch::request::placement_policy::FirstFit;
-/// use greengagearch::request::placement_policy::place;
+/// use greengagearch::request::placement_policy::choose_worker;
 ///
 /// let amount = ResourceAmount::default();
-/// assert_eq!(place(&FirstFit, &[], &amount, "roster", &[], &mut rand::rng()), None);
+/// assert_eq!(choose_worker(&FirstFit, &[], &amount, "roster", &[], &mut rand::rng()), None);
 /// ```
-pub fn place(
+pub fn choose_worker(
     policy: &dyn PlacementPolicy,
     views: &[WorkerView],
     amount: &ResourceAmount,
@@ -321,8 +322,9 @@
     rng: &mut dyn Rng,
 ) -> Option<usize> {
     let numbered = views.iter().enumerate();
-    let roomy: Vec<RoomyWorker<'_>> = numbered.filter(|(_, view)| view.has_room(amount)).collect();
-    let preferred: Vec<RoomyWorker<'_>> =
+    let roomy: Vec<CandidateWorker<'_>> =
+        numbered.filter(|(_, view)| view.has_room(amount)).collect();
+    let preferred: Vec<CandidateWorker<'_>> =
         roomy.iter().copied().filter(|(_, view)| !avoid.contains(&view.worker)).collect();
     policy.choose(if preferred.is_empty() { &roomy } else { &preferred }, kind, rng)
 }
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -16,8 +16,8 @@
 use crate::process::interference::KindName;
 use crate::request::placement_policy::PlacementPolicy;
 use crate::request::placement_policy::WorkerView;
+use crate::request::placement_policy::choose_worker;
 use crate::request::placement_policy::dominant_share;
-use crate::request::placement_policy::place;
 
 /// Waiting time after which a task goes before the teams' shares.
 const LONG_WAIT: Duration = Duration::from_secs(600);
@@ -97,10 +97,10 @@
         if !share.quota.contains(&share.used.plus(&task.resources)) {
             continue;
         }
-        let chosen = place(policy, views, &task.resources, &task.kind, &task.avoid, rng);
+        let chosen = choose_worker(policy, views, &task.resources, &task.kind, &task.avoid, rng);
         if let Some(index) = chosen {
-            views[index].take(&task.resources, &task.kind);
-            policy.on_taken(&mut views[index], &task.kind);
+            views[index].commit(&task.resources, &task.kind);
+            policy.on_committed(&mut views[index], &task.kind);
             share.used = share.used.plus(&task.resources);
             starts.push(PlannedStart {
                 key: task.key,
--- a/tests/worker_choice.rs
+++ b/tests/worker_choice.rs
@@ -13,7 +13,7 @@
 use greengagearch::request::placement_policy::PlacementPolicy;
 use greengagearch::request::placement_policy::PlacementPolicyKind;
 use greengagearch::request::placement_policy::WorkerView;
-use greengagearch::request::placement_policy::place;
+use greengagearch::request::placement_policy::choose_worker;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -54,7 +54,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut views = views();
     policy.prepare(&mut views);
-    let chosen = place(policy.as_ref(), &views, &TASK, "roster", &[], &mut rng);
+    let chosen = choose_worker(policy.as_ref(), &views, &TASK, "roster", &[], &mut rng);
     assert_eq!(chosen, Some(1));
 }
 
@@ -66,9 +66,9 @@
     let mut views = views();
     policy.prepare(&mut views);
     for _ in 0..14 {
-        let index = place(policy.as_ref(), &views, &TASK, "roster", &[], &mut rng).unwrap();
-        views[index].take(&TASK, "roster");
-        policy.on_taken(&mut views[index], "roster");
+        let index = choose_worker(policy.as_ref(), &views, &TASK, "roster", &[], &mut rng).unwrap();
+        views[index].commit(&TASK, "roster");
+        policy.on_committed(&mut views[index], "roster");
         let apart = views[1].committed_share() - views[0].committed_share();
         assert!(apart <= LOAD_SLACK + 0.1 + f64::EPSILON, "{apart}");
     }
@@ -80,11 +80,11 @@
     let model = model(&[("tender", "roster", 0.8), ("tough", "roster", 0.01)]);
     let policy = PairwisePlacement { model: model.clone() };
     let mut views = views();
-    views[0].take(&TASK, "unseen");
+    views[0].commit(&TASK, "unseen");
     policy.prepare(&mut views);
     for kind in ["roster", "unseen", "roster"] {
-        views[0].take(&TASK, kind);
-        policy.on_taken(&mut views[0], kind);
+        views[0].commit(&TASK, kind);
+        policy.on_committed(&mut views[0], kind);
     }
     let expected = model.slowdown("tender", &views[0].kinds);
     assert!((views[0].slowdowns[0] - expected).abs() < 1e-9);
@@ -95,6 +95,6 @@
     let mut rng = StdRng::seed_from_u64(1);
     let avoid = ["w2".to_string()];
     let views = views();
-    assert_eq!(place(&FirstFit, &views, &TASK, "k", &avoid, &mut rng), Some(1));
-    assert_eq!(place(&FirstFit, &views[..1], &TASK, "k", &avoid, &mut rng), Some(0));
+    assert_eq!(choose_worker(&FirstFit, &views, &TASK, "k", &avoid, &mut rng), Some(1));
+    assert_eq!(choose_worker(&FirstFit, &views[..1], &TASK, "k", &avoid, &mut rng), Some(0));
 }
