--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -136,7 +136,7 @@
     let deadline = CallDeadline::after(wait_of(request.headers()));
     let host = host_of(&request);
     let path = request.uri().path().to_string();
-    let Some((route, name)) = table.find(&host, &path) else {
+    let Some((route, name)) = table.find_route(&host, &path) else {
         return error(StatusCode::NOT_FOUND, "no such queue");
     };
     if name.is_empty() && request.method() == Method::GET {
@@ -170,7 +170,7 @@
     request: Request,
     deadline: CallDeadline,
 ) -> Response {
-    let limit = table.limits.body_bytes;
+    let limit = table.limits.max_body_bytes;
     let Ok(body) = to_bytes(request.into_body(), limit).await else {
         return with_close(error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
     };
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -5,9 +5,9 @@
 use snafu::Snafu;
 
 use crate::ids::GenerationNumber;
-use crate::version::queue_table::CallerLimits;
 use crate::version::queue_table::QueueRoute;
 use crate::version::queue_table::QueueTable;
+use crate::version::queue_table::RequestLimits;
 use crate::workflow::spec::AdvicePolicy;
 use crate::workflow::spec::QueuePolicy;
 
@@ -69,7 +69,7 @@
 #[derive(Debug, Default, Deserialize)]
 struct WireLimits {
     #[serde(rename = "MaxBodyBytes")]
-    body_bytes: Option<usize>,
+    max_body_bytes: Option<usize>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -94,9 +94,9 @@
 /// ```
 pub fn decode(bytes: &[u8]) -> Result<QueueTable, ConfigurationError> {
     let wire: WireConfiguration = serde_json::from_slice(bytes).context(ConfigurationSnafu)?;
-    let body_bytes = wire.limits.body_bytes.unwrap_or(DEFAULT_BODY_BYTES);
+    let max_body_bytes = wire.limits.max_body_bytes.unwrap_or(DEFAULT_BODY_BYTES);
     let routes = wire.routes.into_iter().map(decode_route).collect();
-    Ok(QueueTable::new(wire.version, CallerLimits { body_bytes }, routes))
+    Ok(QueueTable::new(wire.version, RequestLimits { max_body_bytes }, routes))
 }
 
 fn decode_route(wire: WireRoute) -> (String, QueueRoute) {
--- a/src/version/queue_table.rs
+++ b/src/version/queue_table.rs
@@ -16,9 +16,9 @@
 
 /// What a request of a caller may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerLimits {
+pub struct RequestLimits {
     /// Largest body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 /// All queues of one version of the configuration.
@@ -27,7 +27,7 @@
     /// The version.
     pub version: GenerationNumber,
     /// What a request may be.
-    pub limits: CallerLimits,
+    pub limits: RequestLimits,
     routes: HashMap<String, Vec<QueueRoute>>,
 }
 
@@ -35,15 +35,15 @@
     /// Makes a table of routes, each with its host.
     ///
     /// ```
-    /// use greengagearch::version::queue_table::CallerLimits;
+    /// use greengagearch::version::queue_table::RequestLimits;
     /// use greengagearch::version::queue_table::QueueTable;
     ///
-    /// let table = QueueTable::new(1, CallerLimits { body_bytes: 10 }, Vec::new());
-    /// assert!(table.find("a.example", "/x/1").is_none());
+    /// let table = QueueTable::new(1, RequestLimits { max_body_bytes: 10 }, Vec::new());
+    /// assert!(table.find_route("a.example", "/x/1").is_none());
     /// ```
     pub fn new(
         version: GenerationNumber,
-        limits: CallerLimits,
+        limits: RequestLimits,
         routes: Vec<(String, QueueRoute)>,
     ) -> QueueTable {
         let mut by_host: HashMap<String, Vec<QueueRoute>> = HashMap::new();
@@ -60,13 +60,13 @@
     /// The queue that a path at a host belongs to, and the rest of the path.
     ///
     /// ```
-    /// use greengagearch::version::queue_table::CallerLimits;
+    /// use greengagearch::version::queue_table::RequestLimits;
     /// use greengagearch::version::queue_table::QueueTable;
     ///
-    /// let table = QueueTable::new(1, CallerLimits { body_bytes: 10 }, Vec::new());
-    /// assert!(table.find("a.example", "/x/1").is_none());
+    /// let table = QueueTable::new(1, RequestLimits { max_body_bytes: 10 }, Vec::new());
+    /// assert!(table.find_route("a.example", "/x/1").is_none());
     /// ```
-    pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(&QueueRoute, &'a str)> {
+    pub fn find_route<'a>(&self, host: &str, path: &'a str) -> Option<(&QueueRoute, &'a str)> {
         let routes = self.routes.get(host)?;
         routes.iter().find_map(|route| Some((route, path.strip_prefix(route.prefix.as_str())?)))
     }
@@ -74,10 +74,10 @@
     /// The policy of a queue by its name.
     ///
     /// ```
-    /// use greengagearch::version::queue_table::CallerLimits;
+    /// use greengagearch::version::queue_table::RequestLimits;
     /// use greengagearch::version::queue_table::QueueTable;
     ///
-    /// let table = QueueTable::new(1, CallerLimits { body_bytes: 1_000 }, Vec::new());
+    /// let table = QueueTable::new(1, RequestLimits { max_body_bytes: 1_000 }, Vec::new());
     /// assert!(table.find_queue("logs").is_none());
     /// ```
     pub fn find_queue(&self, name: &str) -> Option<&QueuePolicy> {
@@ -88,10 +88,10 @@
     /// Number of queues.
     ///
     /// ```
-    /// use greengagearch::version::queue_table::CallerLimits;
+    /// use greengagearch::version::queue_table::RequestLimits;
     /// use greengagearch::version::queue_table::QueueTable;
     ///
-    /// let table = QueueTable::new(1, CallerLimits { body_bytes: 10 }, Vec::new());
+    /// let table = QueueTable::new(1, RequestLimits { max_body_bytes: 10 }, Vec::new());
     /// assert_eq!(table.len(), 0);
     /// ```
     pub fn len(&self) -> usize {
@@ -101,10 +101,10 @@
     /// Whether there is no queue.
     ///
     /// ```
-    /// use greengagearch::version::queue_table::CallerLimits;
+    /// use greengagearch::version::queue_table::RequestLimits;
     /// use greengagearch::version::queue_table::QueueTable;
     ///
-    /// assert!(QueueTable::new(1, CallerLimits { body_bytes: 10 }, Vec::new()).is_empty());
+    /// assert!(QueueTable::new(1, RequestLimits { max_body_bytes: 10 }, Vec::new()).is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
