--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -23,7 +23,7 @@
 use greengagearch::request::service_pool::ServicePool;
 use greengagearch::request::service_pool::SlotDecision;
 use greengagearch::request::task_plan::QueuedTask;
-use greengagearch::request::task_plan::TeamShare;
+use greengagearch::request::task_plan::TeamUsage;
 use greengagearch::request::task_plan::plan_starts;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -80,10 +80,10 @@
     tasks.collect()
 }
 
-fn teams() -> BTreeMap<String, TeamShare> {
+fn teams() -> BTreeMap<String, TeamUsage> {
     let quota =
         ResourceAmount { millicores: 10_000_000, memory_mib: 100_000_000, accelerators: 100 };
-    let share = TeamShare { quota, used: ResourceAmount::default() };
+    let share = TeamUsage { quota, used: ResourceAmount::default() };
     (0..48).map(|team| (format!("team-{team}"), share)).collect()
 }
 
--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -25,8 +25,8 @@
 use crate::request::pool_endpoint::EndpointKey;
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::SlotResult;
-use crate::request::request_id::CLOCK_SKEW;
 use crate::request::request_id::IdAge;
+use crate::request::request_id::MAX_CLOCK_SKEW;
 use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_age;
 use crate::request::request_id::id_time;
@@ -188,7 +188,7 @@
     let owned_since = shared.clock.wall_at(right.since);
     // An earlier owner may have run every id that it could have accepted: up to one skew ahead of
     // its clock, which may itself be one skew ahead of this one's.
-    if time < owned_since + 2 * CLOCK_SKEW && right.epoch > FIRST_EPOCH {
+    if time < owned_since + 2 * MAX_CLOCK_SKEW && right.epoch > FIRST_EPOCH {
         let settled = settle(shared, document, &request, right).await;
         if let Some(outcome) = settled {
             return outcome.into();
--- a/src/process/entry/scheduler.rs
+++ b/src/process/entry/scheduler.rs
@@ -50,7 +50,7 @@
 use crate::request::job::task_prefix;
 use crate::request::placement_policy::WorkerView;
 use crate::request::task_plan::QueuedTask;
-use crate::request::task_plan::TeamShare;
+use crate::request::task_plan::TeamUsage;
 use crate::request::task_plan::plan_starts;
 
 /// Time between two steps; news of changed tasks collect in between.
@@ -324,11 +324,11 @@
             .collect()
     }
 
-    fn team_shares(&self, queued: &[QueuedTask]) -> BTreeMap<TeamName, TeamShare> {
+    fn team_shares(&self, queued: &[QueuedTask]) -> BTreeMap<TeamName, TeamUsage> {
         let used = self.fleet.used_by_team();
-        let mut shares: BTreeMap<TeamName, TeamShare> = BTreeMap::new();
+        let mut shares: BTreeMap<TeamName, TeamUsage> = BTreeMap::new();
         for task in queued {
-            shares.entry(task.team.clone()).or_insert_with(|| TeamShare {
+            shares.entry(task.team.clone()).or_insert_with(|| TeamUsage {
                 quota: self
                     .shared
                     .with_catalog(|catalog| catalog.quota(&task.team))
--- a/src/request/request_id.rs
+++ b/src/request/request_id.rs
@@ -9,7 +9,7 @@
 use crate::ids::RequestId;
 
 /// Largest difference of wall clocks that is put up with, between any two of callers and hosts.
-pub const CLOCK_SKEW: Duration = Duration::from_millis(500);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
 
 /// How old an id is, as its window goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 /// assert_eq!(id_window(Duration::from_secs(20)), Duration::from_secs(21));
 /// ```
 pub fn id_window(largest_deadline: Duration) -> Duration {
-    largest_deadline + 2 * CLOCK_SKEW
+    largest_deadline + 2 * MAX_CLOCK_SKEW
 }
 
 /// Judges an id's time at the wall-clock time `now`, since the Unix epoch.
@@ -66,7 +66,7 @@
 /// assert_eq!(id_age(Duration::from_secs(1_003), now, window), IdAge::InFuture);
 /// ```
 pub fn id_age(time: Duration, now: Duration, window: Duration) -> IdAge {
-    if time > now + CLOCK_SKEW {
+    if time > now + MAX_CLOCK_SKEW {
         IdAge::InFuture
     } else if time + window < now {
         IdAge::TooOld
@@ -87,5 +87,5 @@
 /// assert_eq!(expiry_time(time, Duration::from_secs(30)), Duration::from_secs(131));
 /// ```
 pub fn expiry_time(time: Duration, window: Duration) -> Duration {
-    time + window + 2 * CLOCK_SKEW
+    time + window + 2 * MAX_CLOCK_SKEW
 }
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -14,7 +14,7 @@
 use crate::request::id_memory::IdMemory;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
-use crate::request::request_id::CLOCK_SKEW;
+use crate::request::request_id::MAX_CLOCK_SKEW;
 
 #[derive(Clone, Debug)]
 enum JournalState {
@@ -92,7 +92,7 @@
 /// an id is accepted up to one skew ahead of an entry's clock, which may itself be one skew ahead
 /// of the agent's.
 fn reaches_back(since: Duration, id_time: Duration) -> bool {
-    id_time >= since + 2 * CLOCK_SKEW
+    id_time >= since + 2 * MAX_CLOCK_SKEW
 }
 
 /// Ids of non-idempotent requests at one agent.
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -45,7 +45,7 @@
 
 /// A team's quota and what it uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TeamShare {
+pub struct TeamUsage {
     /// What it may use at most.
     pub quota: ResourceAmount,
     /// What it uses.
@@ -78,7 +78,7 @@
 pub fn plan_starts(
     queued: Vec<QueuedTask>,
     views: &mut [WorkerView],
-    teams: &mut BTreeMap<TeamName, TeamShare>,
+    teams: &mut BTreeMap<TeamName, TeamUsage>,
     policy: &dyn PlacementPolicy,
     limit: usize,
     rng: &mut dyn Rng,
@@ -131,7 +131,7 @@
 /// The team whose first task goes next: long waits, then urgent, then the smallest share.
 fn next_team(
     queues: &BTreeMap<TeamName, VecDeque<QueuedTask>>,
-    teams: &BTreeMap<TeamName, TeamShare>,
+    teams: &BTreeMap<TeamName, TeamUsage>,
 ) -> Option<TeamName> {
     let heads = queues.iter().filter_map(|(team, queue)| Some((team, queue.front()?)));
     let ranked = heads.map(|(team, task)| {
@@ -173,15 +173,15 @@
         }
     }
 
-    fn shares(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamShare> {
-        let share = |quota: u64| TeamShare { quota: amount(quota), used: amount(0) };
+    fn shares(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamUsage> {
+        let share = |quota: u64| TeamUsage { quota: amount(quota), used: amount(0) };
         quotas.iter().map(|(team, quota)| (team.to_string(), share(*quota))).collect()
     }
 
     fn plan(
         queued: Vec<QueuedTask>,
         views: &mut [WorkerView],
-        teams: &mut BTreeMap<TeamName, TeamShare>,
+        teams: &mut BTreeMap<TeamName, TeamUsage>,
     ) -> Vec<String> {
         let mut rng = StdRng::seed_from_u64(1);
         let starts = plan_starts(queued, views, teams, &LeastLoaded, 99, &mut rng);
