--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -15,14 +15,14 @@
 use crate::ids::RequestId;
 use crate::process::agent::shared::AgentShared;
 use crate::process::clock;
-use crate::request::outcome::EndpointAnswer;
+use crate::request::outcome::EndpointResponse;
 use crate::request::outcome::NotRunReason;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
 use crate::request::outcome::body_digest;
-use crate::request::request_id::forget_time;
+use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_time;
-use crate::request::request_journal::JournalVerdict;
+use crate::request::request_journal::JournalDecision;
 use crate::request::request_journal::SettleAnswer;
 
 /// Header that tells the endpoint how long the request is worth running, in milliseconds.
@@ -54,7 +54,7 @@
         return RequestOutcome::not_run(NotRunReason::IdInFuture);
     };
     let window = order.window.max(shared.window_of(&order.request.service));
-    match begin(&shared, id, order.epoch, forget_time(time, window)) {
+    match begin(&shared, id, order.epoch, expiry_time(time, window)) {
         Begun::Ended(outcome) => outcome,
         Begun::Wait(receiver) => await_running(receiver, order.request.time_left).await,
         Begun::Run(sender) => {
@@ -83,17 +83,17 @@
 
 /// Looks an order up in the journal. The outcome to come is found and left under the journal's
 /// lock, so that nobody who is told to wait comes too late for it.
-fn begin(shared: &AgentShared, id: RequestId, epoch: LeaseEpoch, forget_at: Duration) -> Begun {
+fn begin(shared: &AgentShared, id: RequestId, epoch: LeaseEpoch, expires_at: Duration) -> Begun {
     let mut journal = shared.journal();
-    match journal.begin(id, epoch, forget_at) {
-        JournalVerdict::Ended(outcome) => Begun::Ended(outcome),
-        JournalVerdict::Refuse => Begun::Ended(RequestOutcome::not_run(NotRunReason::Tombstoned)),
-        JournalVerdict::Run => {
+    match journal.begin(id, epoch, expires_at) {
+        JournalDecision::Ended(outcome) => Begun::Ended(outcome),
+        JournalDecision::Refuse => Begun::Ended(RequestOutcome::not_run(NotRunReason::Tombstoned)),
+        JournalDecision::Run => {
             let (sender, receiver) = watch::channel(None);
             shared.running().insert(id, receiver);
             Begun::Run(sender)
         }
-        JournalVerdict::Wait => match shared.running().get(&id) {
+        JournalDecision::Wait => match shared.running().get(&id) {
             Some(receiver) => Begun::Wait(receiver.clone()),
             None => Begun::Ended(RequestOutcome::Unknown(UnknownReason::AnswerLost)),
         },
@@ -182,7 +182,7 @@
     let content_type = content_type.to_string();
     match response.bytes().await {
         Ok(body) => {
-            RequestOutcome::Answered(EndpointAnswer::new(status, content_type, body.to_vec()))
+            RequestOutcome::Answered(EndpointResponse::new(status, content_type, body.to_vec()))
         }
         Err(_) => RequestOutcome::Unknown(UnknownReason::AnswerLost),
     }
@@ -196,6 +196,6 @@
     if !shared.is_journal_ready() {
         return SettleAnswer::NotReady;
     }
-    let forget_at = forget_time(time, question.window);
-    shared.journal().settle(question.id, question.epoch, time, forget_at)
+    let expires_at = expiry_time(time, question.window);
+    shared.journal().settle(question.id, question.epoch, time, expires_at)
 }
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -14,10 +14,10 @@
 use crate::ids::TeamName;
 use crate::ids::WorkerId;
 use crate::process::interference::KindName;
-use crate::request::worker_choice::PlacementPolicy;
-use crate::request::worker_choice::WorkerView;
-use crate::request::worker_choice::dominant_share;
-use crate::request::worker_choice::place;
+use crate::request::placement_policy::PlacementPolicy;
+use crate::request::placement_policy::WorkerView;
+use crate::request::placement_policy::choose_worker;
+use crate::request::placement_policy::dominant_share;
 
 /// Waiting time after which a task goes before the teams' shares.
 const LONG_WAIT: Duration = Duration::from_secs(600);
@@ -45,7 +45,7 @@
 
 /// A team's quota and what it uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TeamShare {
+pub struct TeamUsage {
     /// What it may use at most.
     pub quota: ResourceAmount,
     /// What it uses.
@@ -68,7 +68,7 @@
 /// ```
 /// use std::collections::BTreeMap;
 ///
-/// use greengagearch::request::worker_choice::LeastLoaded;
+/// use greengagearch::request::placement_policy::LeastLoaded;
 /// use greengagearch::request::task_plan::plan_starts;
 ///
 /// let mut teams = BTreeMap::new();
@@ -78,7 +78,7 @@
 pub fn plan_starts(
     queued: Vec<QueuedTask>,
     views: &mut [WorkerView],
-    teams: &mut BTreeMap<TeamName, TeamShare>,
+    teams: &mut BTreeMap<TeamName, TeamUsage>,
     policy: &dyn PlacementPolicy,
     limit: usize,
     rng: &mut dyn Rng,
@@ -97,10 +97,10 @@
         if !share.quota.contains(&share.used.plus(&task.resources)) {
             continue;
         }
-        let chosen = place(policy, views, &task.resources, &task.kind, &task.avoid, rng);
+        let chosen = choose_worker(policy, views, &task.resources, &task.kind, &task.avoid, rng);
         if let Some(index) = chosen {
-            views[index].take(&task.resources, &task.kind);
-            policy.on_taken(&mut views[index], &task.kind);
+            views[index].commit(&task.resources, &task.kind);
+            policy.on_committed(&mut views[index], &task.kind);
             share.used = share.used.plus(&task.resources);
             starts.push(PlannedStart {
                 key: task.key,
@@ -131,7 +131,7 @@
 /// The team whose first task goes next: long waits, then urgent, then the smallest share.
 fn next_team(
     queues: &BTreeMap<TeamName, VecDeque<QueuedTask>>,
-    teams: &BTreeMap<TeamName, TeamShare>,
+    teams: &BTreeMap<TeamName, TeamUsage>,
 ) -> Option<TeamName> {
     let heads = queues.iter().filter_map(|(team, queue)| Some((team, queue.front()?)));
     let ranked = heads.map(|(team, task)| {
@@ -151,7 +151,7 @@
     use rand::rngs::StdRng;
 
     use super::*;
-    use crate::request::worker_choice::LeastLoaded;
+    use crate::request::placement_policy::LeastLoaded;
 
     fn amount(millicores: u64) -> ResourceAmount {
         ResourceAmount { millicores, memory_mib: millicores, accelerators: 0 }
@@ -173,15 +173,15 @@
         }
     }
 
-    fn shares(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamShare> {
-        let share = |quota: u64| TeamShare { quota: amount(quota), used: amount(0) };
+    fn shares(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamUsage> {
+        let share = |quota: u64| TeamUsage { quota: amount(quota), used: amount(0) };
         quotas.iter().map(|(team, quota)| (team.to_string(), share(*quota))).collect()
     }
 
     fn plan(
         queued: Vec<QueuedTask>,
         views: &mut [WorkerView],
-        teams: &mut BTreeMap<TeamName, TeamShare>,
+        teams: &mut BTreeMap<TeamName, TeamUsage>,
     ) -> Vec<String> {
         let mut rng = StdRng::seed_from_u64(1);
         let starts = plan_starts(queued, views, teams, &LeastLoaded, 99, &mut rng);
