--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -29,7 +29,7 @@
 use crate::workflow::progress::JobEnd;
 use crate::workflow::progress::JobStatus;
 use crate::workflow::spec::QueuePolicy;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 
@@ -136,7 +136,7 @@
     let deadline = CallDeadline::after(wait_of(request.headers()));
     let host = host_of(&request);
     let path = request.uri().path().to_string();
-    let Some((route, name)) = table.find(&host, &path) else {
+    let Some((route, name)) = table.find_route(&host, &path) else {
         return error(StatusCode::NOT_FOUND, "no such queue");
     };
     if name.is_empty() && request.method() == Method::GET {
@@ -170,7 +170,7 @@
     request: Request,
     deadline: CallDeadline,
 ) -> Response {
-    let limit = table.limits.body_bytes;
+    let limit = table.limits.max_body_bytes;
     let Ok(body) = to_bytes(request.into_body(), limit).await else {
         return with_close(error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
     };
@@ -204,7 +204,7 @@
 fn decode_step(wire: WireStep) -> StepSpec {
     StepSpec {
         count: wire.count,
-        room: RoomAmount {
+        resources: ResourceVector {
             millicores: wire.millicores,
             memory_mib: wire.memory_mib,
             accelerators: wire.accelerators,
@@ -221,8 +221,8 @@
         long_running: wire.long_running,
         image: wire.image,
         target_ms: wire.target_ms,
-        fills: wire.fills,
-        may_miss: wire.may_miss,
+        best_effort: wire.fills,
+        max_unavailable: wire.may_miss,
     }
 }
 
--- a/src/process/node/order_attempts.rs
+++ b/src/process/node/order_attempts.rs
@@ -6,7 +6,7 @@
 use crate::ids::PlannerEpoch;
 use crate::process::logging::log_event;
 use crate::process::metrics::ProcessMetrics;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Each of the first attempts is logged if it fails; later only those whose number is a power of
 /// two.
--- a/src/process/node/order_sender.rs
+++ b/src/process/node/order_sender.rs
@@ -15,7 +15,7 @@
 use crate::process::node::order_attempts::OrderKind;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::shared::NodeShared;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Pause before a stop that the runner has not accepted is sent again. It doubles with each attempt
 /// up to the maximum.
@@ -87,7 +87,7 @@
     }
 
     fn next_step(&self) -> StartStep {
-        let resources = &self.order.traits.room;
+        let resources = &self.order.traits.resources;
         self.shared.state().next_step(&self.target, &self.key, resources, clock::now())
     }
 
@@ -97,7 +97,7 @@
         let slot = shared.order_slots.acquire().await;
         let lease_end = {
             let mut state = shared.state();
-            state.begin_attempt(&self.target, &self.key, &self.order.traits.room, clock::now())
+            state.begin_attempt(&self.target, &self.key, &self.order.traits.resources, clock::now())
         };
         let Some(lease_end) = lease_end else {
             return;
--- a/src/process/node/order_state.rs
+++ b/src/process/node/order_state.rs
@@ -10,8 +10,8 @@
 use crate::process::node::pending_start::StartConditions;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::state::NodeState;
-use crate::workflow::spec::RoomAmount;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::spec::ResourceVector;
+use crate::workflow::worker_inventory::RunKey;
 
 impl NodeState {
     /// Accepts an order to start a run. Returns whether it is new.
@@ -29,7 +29,7 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        resources: &RoomAmount,
+        resources: &ResourceVector,
         now: Instant,
     ) -> StartStep {
         if !self.is_current_target(target) {
@@ -45,7 +45,7 @@
         &mut self,
         target: &RunnerTarget,
         key: &RunKey,
-        resources: &RoomAmount,
+        resources: &ResourceVector,
         now: Instant,
     ) -> Option<RunnerMillis> {
         if !self.is_current_target(target) {
@@ -118,7 +118,7 @@
     /// Returns whether the runner's newest capacity holds a run in addition to all that it lists or
     /// is about to start. A run that is being stopped counts until it has ended. A start may have
     /// been decided before the capacity shrank, and waited for the store.
-    pub fn has_capacity(&self, key: &RunKey, resources: &RoomAmount) -> bool {
+    pub fn has_capacity(&self, key: &RunKey, resources: &ResourceVector) -> bool {
         let Some(runner) = self.instances.current() else {
             return false;
         };
@@ -126,7 +126,7 @@
             self.present.iter().chain(self.tracker.starting()).collect();
         let others = others.into_iter().filter(|other| *other != key);
         let reserved =
-            others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.room);
+            others.filter_map(|(task, _)| self.traits.get(task)).map(|traits| &traits.resources);
         let used = reserved.fold(*resources, |used, other| used.plus(other));
         runner.status.capacity.contains(&used)
     }
@@ -134,7 +134,7 @@
     fn start_conditions(
         &self,
         key: &RunKey,
-        resources: &RoomAmount,
+        resources: &ResourceVector,
         now: Instant,
     ) -> StartConditions {
         let may_start = self.may_start(now) == Some(true);
--- a/src/process/node/order_tracker.rs
+++ b/src/process/node/order_tracker.rs
@@ -13,7 +13,7 @@
 use crate::process::node::pending_start::PendingStart;
 use crate::process::node::pending_start::StartConditions;
 use crate::process::node::pending_start::StartStep;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// State of an order to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/process/node/recent_starts.rs
+++ b/src/process/node/recent_starts.rs
@@ -7,7 +7,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::YOUNG_SPAN;
 use crate::connection::node_protocol::YoungRun;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Young runs reported for one crash, to bound the size of a report.
 const MAX_YOUNG_REPORTED: usize = 24;
--- a/src/process/node/runner_lease.rs
+++ b/src/process/node/runner_lease.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use crate::external::runner_control::RunnerMillis;
-use crate::workflow::grant::LONGEST_LEASE;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::grant::MAX_LEASE;
+use crate::workflow::grant::expired_by;
 
 /// A start is not sent if less than this is left of the lease.
 const MIN_START_LEASE: Duration = Duration::from_millis(150);
@@ -41,7 +41,7 @@
             last_response: now,
             granted_until: None,
             sent_until: None,
-            inherited_until: now + LONGEST_LEASE,
+            inherited_until: now + MAX_LEASE,
             clock: None,
         }
     }
@@ -187,6 +187,6 @@
 
     fn has_passed(&self, until: Instant, now: Instant) -> bool {
         let remaining = until.saturating_duration_since(self.last_response);
-        now >= surely_expired(self.last_response, remaining) && self.is_unresponsive(now)
+        now >= expired_by(self.last_response, remaining) && self.is_unresponsive(now)
     }
 }
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -13,8 +13,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::node::shared::NodeShared;
-use crate::workflow::pacing::PaceControl;
-use crate::workflow::pacing::PaceStep;
+use crate::workflow::pacing::PaceChange;
+use crate::workflow::pacing::PaceController;
 
 /// Longest time that a poll waits for the end of a run; bounds the interval at which tail latencies
 /// are measured and leases extended.
@@ -25,7 +25,7 @@
 /// Spawns the task that polls the runner.
 pub fn spawn_runner_poller(shared: Arc<NodeShared>) {
     // An earlier agent may have changed the pace of what runs.
-    shared.state().pace = PaceControl::inheriting();
+    shared.state().pace = PaceController::inheriting();
     tokio::spawn(async move {
         let mut is_failing = false;
         loop {
@@ -130,12 +130,12 @@
         let now = clock::now();
         let changes = {
             let state = &mut *state;
-            state.pace.look(&response.running, &state.traits, now)
+            state.pace.update(&response.running, &state.traits, now)
         };
         if state.on_poll_response(number, response, now) {
             shared.report_wakeup.notify_one();
         }
-        (changes, state.pace.take_long_over())
+        (changes, state.pace.take_sustained_violations())
     };
     for (violation, best_effort_percent) in violations {
         log_event(
@@ -160,17 +160,17 @@
     Ok(())
 }
 
-async fn set_pace(shared: &NodeShared, target: &RunnerTarget, change: PaceStep) {
+async fn set_pace(shared: &NodeShared, target: &RunnerTarget, change: PaceChange) {
     let (task, run) = &change.key;
     let slot = shared.order_slots.acquire().await;
     let result = shared.control.pace(target, task, *run, change.percent).await;
     drop(slot);
     match &result {
-        Ok(()) => shared.state().pace.on_done(&change),
+        Ok(()) => shared.state().pace.on_applied(&change),
         Err(RunnerError::NoAnswer { .. }) => {
             shared.state().pace.on_unanswered(&change.key, clock::now());
         }
-        Err(_) => shared.state().pace.on_failed(&change.key),
+        Err(_) => shared.state().pace.on_rejected(&change.key),
     }
     let outcome = result.as_ref().map_or_else(ToString::to_string, |()| "done".to_string());
     log_event(
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -30,9 +30,9 @@
 use crate::process::node::runner_instances::RunnerInstances;
 use crate::process::node::runner_lease::RunnerLease;
 use crate::process::node::unsettled_starts::UnsettledStarts;
-use crate::workflow::pacing::PaceControl;
+use crate::workflow::pacing::PaceController;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Age of the last response above which the next poll first confirms which instance answers.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_000);
@@ -74,7 +74,7 @@
     /// Properties of the tasks, as the planner has sent them.
     pub traits: HashMap<TaskName, TaskTraits>,
     /// Decides the pace of the tasks.
-    pub pace: PaceControl,
+    pub pace: PaceController,
 }
 
 impl NodeState {
@@ -109,7 +109,7 @@
             recent_starts: RecentStarts::default(),
             unsettled: UnsettledStarts::default(),
             traits: HashMap::new(),
-            pace: PaceControl::default(),
+            pace: PaceController::default(),
         }
     }
 
@@ -232,7 +232,7 @@
         self.fresh_snapshot = None;
         self.present.clear();
         self.last_reported_end = 0;
-        self.pace = PaceControl::default();
+        self.pace = PaceController::default();
         self.has_changes = true;
     }
 
@@ -326,8 +326,8 @@
         let mut present = response.running;
         for run in &mut present {
             let key = (run.task.clone(), run.run);
-            run.pace_percent = self.pace.ordered(&key);
-            run.measured_percent = self.pace.measured(&key, now);
+            run.pace_percent = self.pace.ordered_percent(&key);
+            run.measured_percent = self.pace.mean_percent(&key, now);
         }
         self.update_snapshot(number, present, response.ended);
         self.has_changes
--- a/src/process/node/unsettled_starts.rs
+++ b/src/process/node/unsettled_starts.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 use crate::ids::PollNumber;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time for which a start without a response may still be carried out.
 const LATE_DELIVERY_SPAN: Duration = Duration::from_secs(12);
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -25,8 +25,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
-use crate::workflow::grant::grant_span;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::grant::expired_by;
+use crate::workflow::grant::lease_duration;
 
 /// Time for a connection to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -39,7 +39,7 @@
 
 /// Orders on their way to one life of a runner.
 #[derive(Clone, Debug)]
-pub struct OrderParcel {
+pub struct OrderBatch {
     /// The life.
     pub instance: InstanceId,
     /// Number of the orders.
@@ -50,7 +50,7 @@
 
 /// What links tell the planner's loop.
 #[derive(Debug)]
-pub enum LinkNews {
+pub enum LinkEvent {
     /// An agent has reported.
     Report {
         /// Its address.
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct NodeLink {
     /// Takes orders.
-    pub orders: mpsc::UnboundedSender<OrderParcel>,
+    pub orders: mpsc::UnboundedSender<OrderBatch>,
     running: JoinHandle<()>,
 }
 
@@ -84,7 +84,7 @@
         shared: Arc<PlannerShared>,
         epoch: PlannerEpoch,
         address: String,
-        news: mpsc::UnboundedSender<LinkNews>,
+        news: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
         let (orders, parcels) = mpsc::unbounded_channel();
         let worker = LinkWorker {
@@ -104,14 +104,14 @@
     last_sent: u64,
     shared: Arc<PlannerShared>,
     address: String,
-    news: mpsc::UnboundedSender<LinkNews>,
+    news: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
     /// Tells that an order of the present link was not answered.
     order_lost: Arc<Notify>,
 }
 
 impl LinkWorker {
-    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderParcel>) {
+    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderBatch>) {
         let mut was_up = true;
         loop {
             self.stamp.link += 1;
@@ -151,7 +151,7 @@
     async fn serve(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderParcel>,
+        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
     ) -> String {
         let mut call = SyncCall {
             stamp: self.stamp,
@@ -170,7 +170,7 @@
             // An agent that has just started may not have heard of its runner yet.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
-            let news = LinkNews::Report { address: self.address.clone(), report, is_new_link };
+            let news = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
             is_new_link &= !names_runner;
             if self.news.send(news).is_err() {
                 return "planning ended".to_string();
@@ -182,7 +182,7 @@
     async fn exchange(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderParcel>,
+        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
         let limit = call.wait + ANSWER_SLACK;
@@ -196,7 +196,7 @@
                     Ok(Ok(report)) => Ok(report),
                     Ok(Err(stale)) => {
                         // A planner that has ended needs no news.
-                        let _ = self.news.send(LinkNews::Replaced(stale.newest));
+                        let _ = self.news.send(LinkEvent::Replaced(stale.newest));
                         Err(stale.to_string())
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
@@ -210,7 +210,7 @@
         }
     }
 
-    fn send(&mut self, client: &NodeRpcClient, parcel: OrderParcel) {
+    fn send(&mut self, client: &NodeRpcClient, parcel: OrderBatch) {
         let call = OrderCall {
             stamp: self.stamp,
             instance: parcel.instance,
@@ -240,10 +240,10 @@
         };
         let mut owned = self.shared.owned();
         if let (Some(owned), Some(instance)) = (owned.as_mut(), instance) {
-            let span = grant_span(owned.proof, received);
-            owned.planner.on_grant(&instance, surely_expired(received, span));
+            let span = lease_duration(owned.proof, received);
+            owned.planner.on_grant(&instance, expired_by(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
-            call.seen = owned.planner.acked(&instance);
+            call.seen = owned.planner.last_acked_end(&instance);
         }
         call
     }
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -23,7 +23,7 @@
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::runner_poller::spawn_runner_poller;
 use greengagearch::process::node::shared::NodeShared;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -146,10 +146,10 @@
     TaskTraits {
         image: "image".to_string(),
         target_ms,
-        fills: target_ms == 0,
+        best_effort: target_ms == 0,
         effects: if target_ms == 0 { vec![effect] } else { Vec::new() },
         idle_tail_ms: 25,
-        ..plain_traits(task, RoomAmount::default())
+        ..plain_traits(task, ResourceVector::default())
     }
 }
 
@@ -172,7 +172,7 @@
 
 /// The pace that the agent believes in.
 fn believed(shared: &NodeShared) -> u32 {
-    shared.state().pace.ordered(&("f.0.0.0".parse().unwrap(), 1))
+    shared.state().pace.ordered_percent(&("f.0.0.0".parse().unwrap(), 1))
 }
 
 /// Waits until the fill is at work at a pace in which the agent believes as well.
--- a/tests/life_names.rs
+++ b/tests/life_names.rs
@@ -13,7 +13,7 @@
 use greengagearch::platform::life_name::life_name;
 use greengagearch::platform::runner_client::RunnerClient;
 use greengagearch::process::node::fencing_token::fencing_token;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch_standins::platform_journal::RunJournal;
 use greengagearch_standins::platform_runner::PlatformRunner;
 
@@ -48,8 +48,8 @@
         task: "a.0.0.0".parse().unwrap(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
-        room: RoomAmount::default(),
+        best_effort: false,
+        resources: ResourceVector::default(),
         effects: Vec::new(),
         idle_tail_ms: 0,
     };
