--- a/src/connection/cluster_view.rs
+++ b/src/connection/cluster_view.rs
@@ -9,7 +9,7 @@
 
 use crate::connection::cluster_map::ClusterMap;
 use crate::connection::cluster_map::EntryMember;
-use crate::connection::grant_desk::GrantDesk;
+use crate::connection::grant_arbiter::GrantArbiter;
 use crate::connection::lease::LeaseHolder;
 use crate::connection::map_change::ChangeResult;
 use crate::connection::map_change::MapChange;
@@ -54,7 +54,7 @@
     map: ClusterMap,
     row_version: Option<RowVersion>,
     holder: Option<LeaseHolder>,
-    desk: GrantDesk,
+    desk: GrantArbiter,
     acts_from: Vec<Instant>,
     takes_workers_from: Instant,
     /// Until then leases may live on grants of members that an unaided change removed.
@@ -84,7 +84,7 @@
             map: ClusterMap::default(),
             row_version: None,
             holder: None,
-            desk: GrantDesk::default(),
+            desk: GrantArbiter::default(),
             acts_from: Vec::new(),
             takes_workers_from: now,
             unaided_until: now,
--- a/src/connection/grant_desk.rs
+++ b/src/connection/grant_arbiter.rs
@@ -10,19 +10,19 @@
 /// to a holder that knows an older map than this entry, and to a holder whose lease this entry has
 /// begun to take over. The map's generation must be raised here as soon as it is learned.
 #[derive(Clone, Debug, Default)]
-pub struct GrantDesk {
+pub struct GrantArbiter {
     generation: u64,
     change_pending: bool,
     superseded: BTreeMap<String, LeaseEpoch>,
 }
 
-impl GrantDesk {
+impl GrantArbiter {
     /// Takes in a newer map's generation.
     ///
     /// ```
-    /// use greengagearch::connection::grant_desk::GrantDesk;
+    /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantDesk::default();
+    /// let mut desk = GrantArbiter::default();
     /// desk.on_map(2);
     /// assert!(!desk.may_grant("worker/w1", 1, 1));
     /// assert!(desk.may_grant("worker/w1", 1, 2));
@@ -34,9 +34,9 @@
     /// Must be called before a change of the map is sent to the table service.
     ///
     /// ```
-    /// use greengagearch::connection::grant_desk::GrantDesk;
+    /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantDesk::default();
+    /// let mut desk = GrantArbiter::default();
     /// desk.begin_change();
     /// assert!(!desk.may_grant("worker/w1", 1, 0));
     /// ```
@@ -47,9 +47,9 @@
     /// Must be called once the outcome of the change is known, with the map's generation by then.
     ///
     /// ```
-    /// use greengagearch::connection::grant_desk::GrantDesk;
+    /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantDesk::default();
+    /// let mut desk = GrantArbiter::default();
     /// desk.begin_change();
     /// desk.end_change(1);
     /// assert!(desk.may_grant("worker/w1", 1, 1));
@@ -62,9 +62,9 @@
     /// Must be called before a takeover of `lease` to `epoch` is sent to the table service.
     ///
     /// ```
-    /// use greengagearch::connection::grant_desk::GrantDesk;
+    /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantDesk::default();
+    /// let mut desk = GrantArbiter::default();
     /// desk.supersede("worker/w1", 2);
     /// assert!(!desk.may_grant("worker/w1", 1, 0));
     /// assert!(desk.may_grant("worker/w1", 2, 0));
@@ -77,9 +77,9 @@
     /// Whether the holder of `lease` at `epoch`, who knows the map of `generation`, gets a grant.
     ///
     /// ```
-    /// use greengagearch::connection::grant_desk::GrantDesk;
+    /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// assert!(GrantDesk::default().may_grant("worker/w1", 1, 0));
+    /// assert!(GrantArbiter::default().may_grant("worker/w1", 1, 0));
     /// ```
     pub fn may_grant(&self, lease: &str, epoch: LeaseEpoch, generation: u64) -> bool {
         let newest = self.superseded.get(lease).copied().unwrap_or(0);
--- a/src/connection/mod.rs
+++ b/src/connection/mod.rs
@@ -5,7 +5,7 @@
 pub mod cluster_map;
 pub mod cluster_view;
 pub mod counted_stream;
-pub mod grant_desk;
+pub mod grant_arbiter;
 pub mod lease;
 pub mod map_change;
 pub mod node_protocol;
