--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -123,7 +123,7 @@
                 let worker: usize = instance[2..].parse().expect("the name of a worker");
                 let run = PresentRun::ordered(start.traits.task, start.run);
                 let usage = if start.traits.target_ms > 0 { TAIL_MS } else { 900 };
-                self.present[worker].push(PresentRun { usage, is_begun: true, ..run });
+                self.present[worker].push(PresentRun { usage, is_started: true, ..run });
             }
         }
         self.now += Duration::from_millis(400);
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -105,7 +105,7 @@
     /// The run.
     pub run: RunNumber,
     /// Whether the runner shows it; else its start is on its way.
-    pub is_begun: bool,
+    pub is_started: bool,
     /// Its newest saved work.
     pub checkpoint: CheckpointRef,
     /// Share of its work that is done, in percent; of a task that lasts, 100 when it is at work.
@@ -131,7 +131,7 @@
         PresentRun {
             task,
             run,
-            is_begun: false,
+            is_started: false,
             checkpoint: CheckpointRef::new(),
             progress_percent: 0,
             pace_percent: 100,
@@ -208,9 +208,9 @@
     /// assert!(!RunnerSnapshot::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
     /// ```
     pub fn shows(&self, key: &RunKey) -> bool {
-        let is_begun = |run: &PresentRun| run.is_begun && run.task == key.0 && run.run == key.1;
+        let is_started = |run: &PresentRun| run.is_started && run.task == key.0 && run.run == key.1;
         let is_end = |ended: &EndedRun| ended.task == key.0 && ended.run == key.1;
-        self.present.iter().any(is_begun) || self.ended.iter().any(is_end)
+        self.present.iter().any(is_started) || self.ended.iter().any(is_end)
     }
 }
 
--- a/src/platform/runner_client.rs
+++ b/src/platform/runner_client.rs
@@ -286,7 +286,7 @@
     Ok(PresentRun {
         task: decode_task(&task)?,
         run,
-        is_begun: true,
+        is_started: true,
         checkpoint: checkpoint.unwrap_or_default(),
         progress_percent: progress as u32,
         pace_percent: FULL_PACE,
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -82,7 +82,7 @@
         let before = self.last_report.as_ref().map(|known| known.pace_percent);
         let is_new_pace = before != Some(seen.pace_percent);
         self.first_reported_at.get_or_insert(now);
-        if seen.is_begun {
+        if seen.is_started {
             self.begun_at.get_or_insert(now);
         }
         let is_slow = self.best_effort && seen.pace_percent <= SLOW_PERCENT;
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -295,7 +295,7 @@
         None => run.usage,
     };
     PresentRun {
-        is_begun: true,
+        is_started: true,
         checkpoint: format!("{:.0}", run.done_ms.max(0.0)),
         progress_percent: run.progress_percent(),
         usage: usage as u64,
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -66,7 +66,7 @@
 
 /// A run that has begun on the runner.
 pub fn begun_run(task: &str) -> PresentRun {
-    PresentRun { is_begun: true, ..PresentRun::ordered(task.parse().unwrap(), 1) }
+    PresentRun { is_started: true, ..PresentRun::ordered(task.parse().unwrap(), 1) }
 }
 
 /// A look at the runner that shows these runs at `clock`; the planner is not told of it yet.
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -452,7 +452,7 @@
         "a heartbeat alone shows nothing"
     );
     let (number, _) = state.next_poll(Duration::ZERO, now);
-    let begun = PresentRun { is_begun: true, ..PresentRun::ordered(silent.0.clone(), silent.1) };
+    let begun = PresentRun { is_started: true, ..PresentRun::ordered(silent.0.clone(), silent.1) };
     state.on_poll_response(number, PollResponse { running: vec![begun], ..lists(0) }, now);
     assert_eq!(state.report(now).unsettled, [silent], "until the planner has seen where it is");
     let (number, _) = state.next_poll(Duration::ZERO, now);
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -295,7 +295,7 @@
 }
 
 pub fn present(key: &RunKey) -> PresentRun {
-    PresentRun { is_begun: true, ..PresentRun::ordered(key.0.clone(), key.1) }
+    PresentRun { is_started: true, ..PresentRun::ordered(key.0.clone(), key.1) }
 }
 
 pub fn policy() -> QueuePolicy {
--- a/tests/planning_world/runner.rs
+++ b/tests/planning_world/runner.rs
@@ -286,7 +286,7 @@
     /// What a look shows.
     pub fn lists(&self, now: u64) -> PollResponse {
         let shown = |key: &RunKey| PresentRun {
-            is_begun: true,
+            is_started: true,
             ..PresentRun::ordered(key.0.clone(), key.1)
         };
         let running = self.running.keys().map(shown).collect();
