--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -21,7 +21,7 @@
 use crate::workflow::worker_inventory::RunKey;
 
 /// Age up to which a run is young. A program that crashes its worker as it starts does so well within this time.
-pub const YOUNG_SPAN: Duration = Duration::from_millis(1_000);
+pub const MAX_YOUNG_AGE: Duration = Duration::from_millis(1_000);
 /// Young runs that a line of the log names.
 const YOUNG_SHOWN: usize = 6;
 
@@ -222,9 +222,9 @@
     /// The run.
     pub run: RunNumber,
     /// Time from the start to the first sign that the life had broken off; a paused agent sees it late.
-    pub age: Duration,
+    pub max_age: Duration,
     /// Time from the start to the last sign that the life went on.
-    pub lived: Duration,
+    pub min_age: Duration,
     /// Whether the runner had said that the run began.
     pub is_certain: bool,
 }
@@ -235,17 +235,17 @@
 /// use std::time::Duration;
 ///
 /// use greengagearch::connection::node_protocol::YoungRun;
-/// use greengagearch::connection::node_protocol::young_text;
+/// use greengagearch::connection::node_protocol::format_young_runs;
 ///
 /// let task = "a.0.0.0".parse().unwrap();
-/// let age = Duration::from_millis(10);
-/// let run = YoungRun { task, run: 2, age, lived: Duration::ZERO, is_certain: true };
-/// assert_eq!(young_text(&[run]), "a.0.0.0/2:10");
+/// let max_age = Duration::from_millis(10);
+/// let run = YoungRun { task, run: 2, max_age, min_age: Duration::ZERO, is_certain: true };
+/// assert_eq!(format_young_runs(&[run]), "a.0.0.0/2:10");
 /// ```
-pub fn young_text(young: &[YoungRun]) -> String {
+pub fn format_young_runs(young: &[YoungRun]) -> String {
     let text = |run: &YoungRun| {
         let doubt = if run.is_certain { "" } else { "?" };
-        format!("{}/{}:{}{doubt}", run.task, run.run, run.age.as_millis())
+        format!("{}/{}:{}{doubt}", run.task, run.run, run.max_age.as_millis())
     };
     let shown: Vec<String> = young.iter().take(YOUNG_SHOWN).map(text).collect();
     shown.join(" ")
--- a/src/process/node/recent_starts.rs
+++ b/src/process/node/recent_starts.rs
@@ -1,11 +1,11 @@
 //! The runs that the runner has started recently, to report which of them were young (see
-//! [`YOUNG_SPAN`]) when its instance crashed.
+//! [`MAX_YOUNG_AGE`]) when its instance crashed.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
+use crate::connection::node_protocol::MAX_YOUNG_AGE;
 use crate::connection::node_protocol::PresentRun;
-use crate::connection::node_protocol::YOUNG_SPAN;
 use crate::connection::node_protocol::YoungRun;
 use crate::workflow::worker_inventory::RunKey;
 
@@ -87,7 +87,8 @@
         for run in running {
             self.on_started(&(run.task.clone(), run.run));
         }
-        self.starts.retain(|_, start| now.saturating_duration_since(start.sent_at) <= YOUNG_SPAN);
+        self.starts
+            .retain(|_, start| now.saturating_duration_since(start.sent_at) <= MAX_YOUNG_AGE);
     }
 
     /// Returns the runs that were young when the instance crashed, the youngest first. The instance
@@ -104,21 +105,21 @@
     /// let mut starts = RecentStarts::default();
     /// starts.on_sending(&("a.0.0.0".parse().unwrap(), 1), now);
     /// let young = starts.young_runs_at(now, now + Duration::from_millis(10));
-    /// assert_eq!(young[0].age, Duration::from_millis(10));
+    /// assert_eq!(young[0].max_age, Duration::from_millis(10));
     /// ```
     pub fn young_runs_at(&self, last_response: Instant, crashed: Instant) -> Vec<YoungRun> {
         let mut young = Vec::new();
         for ((task, run), start) in &self.starts {
-            let lived = last_response.saturating_duration_since(start.sent_at);
-            let Some(age) = crashed.checked_duration_since(start.sent_at) else {
+            let min_age = last_response.saturating_duration_since(start.sent_at);
+            let Some(max_age) = crashed.checked_duration_since(start.sent_at) else {
                 continue;
             };
-            if lived <= YOUNG_SPAN {
+            if min_age <= MAX_YOUNG_AGE {
                 let (task, run, is_certain) = (task.clone(), *run, start.is_certain);
-                young.push(YoungRun { task, run, age, lived, is_certain });
+                young.push(YoungRun { task, run, max_age, min_age, is_certain });
             }
         }
-        young.sort_by(|one, other| (one.age, &one.task).cmp(&(other.age, &other.task)));
+        young.sort_by(|one, other| (one.max_age, &one.task).cmp(&(other.max_age, &other.task)));
         young.truncate(MAX_YOUNG_REPORTED);
         young
     }
--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -6,7 +6,7 @@
 
 use log::Level;
 
-use crate::connection::node_protocol::young_text;
+use crate::connection::node_protocol::format_young_runs;
 use crate::external::runner_control::PollRequest;
 use crate::external::runner_control::RunnerError;
 use crate::external::runner_control::RunnerTarget;
@@ -109,7 +109,7 @@
 fn log_instance_end(shared: &NodeShared, target: &RunnerTarget) {
     let state = shared.state();
     let crash = state.last_crash().filter(|crash| crash.instance == target.instance);
-    let young = crash.map_or(String::new(), |crash| young_text(&crash.young));
+    let young = crash.map_or(String::new(), |crash| format_young_runs(&crash.young));
     drop(state);
     log_event(Level::Info, "runner_ended", &[("instance", &target.instance), ("young", &young)]);
 }
--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -2,7 +2,7 @@
 
 use log::Level;
 
-use crate::connection::node_protocol::young_text;
+use crate::connection::node_protocol::format_young_runs;
 use crate::ids::PlannerEpoch;
 use crate::process::logging::log_event;
 use crate::workflow::plan_decision::PlanDecision;
@@ -104,7 +104,7 @@
         PlanDecision::WorkerCrashed { worker, young } => log_event(
             Level::Warn,
             "worker_crashed",
-            &[("worker", worker), ("young", &young_text(young)), ("epoch", &epoch)],
+            &[("worker", worker), ("young", &format_young_runs(young)), ("epoch", &epoch)],
         ),
         PlanDecision::TaskIsolated { task, crashes, worker } => log_event(
             Level::Warn,
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::connection::node_protocol::MAX_YOUNG_AGE;
 use crate::connection::node_protocol::RunnerCrash;
-use crate::connection::node_protocol::YOUNG_SPAN;
 use crate::ids::JobId;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
@@ -26,8 +26,8 @@
         let assigned = crash.young.iter().filter(|young| is_assigned(&young.task, young.run));
         let young = assigned.map(|run| CrashedRun {
             task: run.task.clone(),
-            max_age: run.age,
-            min_age: run.lived,
+            max_age: run.max_age,
+            min_age: run.min_age,
             is_certain: run.is_certain,
         });
         let young: Vec<CrashedRun> = young.collect();
@@ -48,7 +48,7 @@
             return None;
         }
         let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
-        let (max_age, min_age) = (YOUNG_SPAN, Duration::ZERO);
+        let (max_age, min_age) = (MAX_YOUNG_AGE, Duration::ZERO);
         self.record_crash(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
 
--- a/src/workflow/task_suspicion.rs
+++ b/src/workflow/task_suspicion.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::connection::node_protocol::YOUNG_SPAN;
+use crate::connection::node_protocol::MAX_YOUNG_AGE;
 use crate::ids::JobId;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_progress::TaskCrash;
@@ -78,8 +78,8 @@
     fn clearing_age(&self) -> Duration {
         let least = self.crashes.iter().map(|crash| crash.age_ms).min();
         // An agent that was paused sees a crash late; no run has to prove more than that it is not young.
-        let span = |age_ms| Duration::from_millis(age_ms).min(YOUNG_SPAN) * 2 + PROOF_SLACK;
-        least.map_or(YOUNG_SPAN, span)
+        let span = |age_ms| Duration::from_millis(age_ms).min(MAX_YOUNG_AGE) * 2 + PROOF_SLACK;
+        least.map_or(MAX_YOUNG_AGE, span)
     }
 
     /// Whether there is enough to give the task up, if it is the one that the last crash points to or not.
--- a/tests/crashing_task.rs
+++ b/tests/crashing_task.rs
@@ -137,14 +137,14 @@
             let is_crasher = self.crashers.contains(&key.0.to_string().as_str());
             self.lost += usize::from(!is_crasher);
             let began = self.begun[&(instance.to_string(), key.clone())];
-            let age = self.fleet.clock + CRASH_AFTER - began;
-            if age <= Duration::from_secs(1) {
-                let lived = age.saturating_sub(ROUND);
+            let max_age = self.fleet.clock + CRASH_AFTER - began;
+            if max_age <= Duration::from_secs(1) {
+                let min_age = max_age.saturating_sub(ROUND);
                 let (task, run) = (key.0.clone(), key.1);
-                young.push(YoungRun { task, run, age, lived, is_certain: true });
+                young.push(YoungRun { task, run, max_age, min_age, is_certain: true });
             }
         }
-        young.sort_by_key(|run| run.age);
+        young.sort_by_key(|run| run.max_age);
         let host = instance.split('-').next().unwrap().to_string();
         self.fleet.tell_crash(RunnerCrash { instance: instance.to_string(), young });
         self.back.push((self.fleet.clock + BACK_AFTER, host));
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -342,7 +342,7 @@
     let told: Vec<(String, u128, bool)> = report.crashes[0]
         .young
         .iter()
-        .map(|run| (run.task.to_string(), run.age.as_millis(), run.is_certain))
+        .map(|run| (run.task.to_string(), run.max_age.as_millis(), run.is_certain))
         .collect();
     assert_eq!(told, [("a.0.0.2".to_string(), 10, false), ("a.0.0.1".to_string(), 60, true)]);
     assert!(state.report(at(8_000)).crashes.is_empty(), "told long enough");
