--- a/src/connection/planner_protocol.rs
+++ b/src/connection/planner_protocol.rs
@@ -13,7 +13,7 @@
 
 /// What a planner process knows of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StatusAnswer {
+pub enum StatusResponse {
     /// Its state.
     Known(JobStatus),
     /// It does not know the job, or does not plan; the store knows.
@@ -24,7 +24,7 @@
 #[tarpc::service]
 pub trait PlannerRpc {
     /// The state of a job.
-    async fn status(job: JobId) -> StatusAnswer;
+    async fn status(job: JobId) -> StatusResponse;
     /// Applies a transaction for a process that does not reach the store.
     async fn relay_commit(transaction: RowTransaction) -> Result<RowVersion, RowError>;
     /// Reads a row for a process that does not reach the store.
--- a/src/connection/store_health.rs
+++ b/src/connection/store_health.rs
@@ -29,7 +29,7 @@
     /// use greengagearch::connection::store_health::StoreHealth;
     ///
     /// let now = Instant::now();
-    /// assert!(StoreHealth::new(now).is_near(now));
+    /// assert!(StoreHealth::new(now).is_reachable(now));
     /// ```
     pub fn new(now: Instant) -> StoreHealth {
         StoreHealth { answered_at: Some(now), refused_at: None }
@@ -54,17 +54,17 @@
     ///
     /// let now = Instant::now();
     /// let mut health = StoreHealth::new(now);
-    /// health.on_silence();
-    /// assert!(!health.is_near(now));
+    /// health.on_timeout();
+    /// assert!(!health.is_reachable(now));
     /// health.on_answer(now);
-    /// assert!(health.is_near(now));
+    /// assert!(health.is_reachable(now));
     /// ```
-    pub fn on_silence(&mut self) {
+    pub fn on_timeout(&mut self) {
         self.answered_at = None;
     }
 
     /// Whether the store has answered of late.
-    pub fn is_near(&self, now: Instant) -> bool {
+    pub fn is_reachable(&self, now: Instant) -> bool {
         self.answered_at.is_some_and(|answered| now.saturating_duration_since(answered) < SILENCE)
     }
 
@@ -104,6 +104,6 @@
         let is_refused = self
             .refused_at
             .is_some_and(|refused| now.saturating_duration_since(refused) < REFUSAL_MEMORY);
-        self.is_near(now) && !is_refused
+        self.is_reachable(now) && !is_refused
     }
 }
--- a/src/process/planning/job_desk.rs
+++ b/src/process/planning/job_desk.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use log::Level;
 
-use crate::connection::planner_protocol::StatusAnswer;
+use crate::connection::planner_protocol::StatusResponse;
 use crate::external::row_store::RowError;
 use crate::external::row_store::RowTransaction;
 use crate::external::row_store::StoredRow;
@@ -205,7 +205,7 @@
         job: &str,
         deadline: CallDeadline,
     ) -> Result<Option<JobStatus>, JobRefusal> {
-        if let StatusAnswer::Known(status) = self.planner.status(job).await {
+        if let StatusResponse::Known(status) = self.planner.status(job).await {
             return Ok(Some(status));
         }
         let row = self.read(job, deadline).await?;
--- a/src/process/planning/planner_client.rs
+++ b/src/process/planning/planner_client.rs
@@ -10,7 +10,7 @@
 
 use crate::connection::planner_protocol::PlannerRpc;
 use crate::connection::planner_protocol::PlannerRpcClient;
-use crate::connection::planner_protocol::StatusAnswer;
+use crate::connection::planner_protocol::StatusResponse;
 use crate::connection::rpc_client::ConnectionCache;
 use crate::connection::rpc_client::call_within;
 use crate::connection::rpc_client::framed;
@@ -41,30 +41,30 @@
     }
 
     /// The state of a job, as far as the planner knows and answers.
-    pub async fn status(&self, job: &str) -> StatusAnswer {
+    pub async fn status(&self, job: &str) -> StatusResponse {
         if let Some(owned) = self.shared.owned().as_ref() {
             return known(owned.planner.status(job));
         }
         let owner = self.shared.view().owner.clone();
         let Some(owner) = owner.filter(|owner| !owner.released) else {
-            return StatusAnswer::Unknown;
+            return StatusResponse::Unknown;
         };
         let Ok(client) = self.connections.client(&owner.address).await else {
-            return StatusAnswer::Unknown;
+            return StatusResponse::Unknown;
         };
         match client.status(call_within(STATUS_LIMIT), job.to_string()).await {
             Ok(answer) => answer,
             Err(_) => {
                 // The connection may have gone silent; the store answers instead.
                 self.connections.drop_client(&owner.address);
-                StatusAnswer::Unknown
+                StatusResponse::Unknown
             }
         }
     }
 }
 
-fn known(status: Option<crate::workflow::progress::JobStatus>) -> StatusAnswer {
-    status.map_or(StatusAnswer::Unknown, StatusAnswer::Known)
+fn known(status: Option<crate::workflow::progress::JobStatus>) -> StatusResponse {
+    status.map_or(StatusResponse::Unknown, StatusResponse::Known)
 }
 
 #[derive(Clone)]
@@ -80,7 +80,7 @@
 }
 
 impl PlannerRpc for PlannerServer {
-    async fn status(self, _: Context, job: JobId) -> StatusAnswer {
+    async fn status(self, _: Context, job: JobId) -> StatusResponse {
         let owned = self.shared.owned();
         known(owned.as_ref().and_then(|owned| owned.planner.status(&job)))
     }
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -106,7 +106,7 @@
 
     /// Whether the store has answered this process of late.
     pub fn is_store_near(&self) -> bool {
-        self.store.health().is_near(clock::now())
+        self.store.health().is_reachable(clock::now())
     }
 
     /// Takes in how a call of a watch ended, and waits after a failure until it may be made again.
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -119,7 +119,7 @@
         }
         let mut failure = silent_here();
         if !self.shared.store.health().has_answered_since(sent) {
-            self.shared.store.health().on_silence();
+            self.shared.store.health().on_timeout();
             failure = match self.relayed(failure, relay, deadline).await {
                 Err(error) if is_worth_a_relay(&error) => error,
                 settled => return settled,
