--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -279,7 +279,7 @@
 
 /// What a task that fills adds to the load of tasks of one image that serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ImageEffect {
+pub struct ImageInterference {
     /// The image that serves.
     pub serving: String,
     /// The load, in thousandths.
@@ -300,7 +300,7 @@
     /// What it takes of the guarded capacity.
     pub resources: ResourceVector,
     /// What it adds at full pace to the loads of tasks that serve, by their images.
-    pub effects: Vec<ImageEffect>,
+    pub effects: Vec<ImageInterference>,
     /// Tail latency of a task that serves when nothing loads it, in milliseconds; zero when not known.
     pub idle_tail_ms: u32,
 }
@@ -309,7 +309,7 @@
     /// What the task adds at full pace to the load of tasks of an image, if that is known.
     ///
     /// ```
-    /// use greengagearch::connection::node_protocol::ImageEffect;
+    /// use greengagearch::connection::node_protocol::ImageInterference;
     /// use greengagearch::connection::node_protocol::TaskTraits;
     /// use greengagearch::workflow::spec::ResourceVector;
     ///
@@ -319,12 +319,12 @@
     ///     target_ms: 0,
     ///     best_effort: true,
     ///     resources: ResourceVector::default(),
-    ///     effects: vec![ImageEffect { serving: "s".to_string(), added_permille: 40 }],
+    ///     effects: vec![ImageInterference { serving: "s".to_string(), added_permille: 40 }],
     ///     idle_tail_ms: 0,
     /// };
-    /// assert_eq!(traits.added("s"), Some(0.04));
+    /// assert_eq!(traits.added_load("s"), Some(0.04));
     /// ```
-    pub fn added(&self, serving: &str) -> Option<f64> {
+    pub fn added_load(&self, serving: &str) -> Option<f64> {
         let effect = self.effects.iter().find(|effect| effect.serving == serving)?;
         Some(f64::from(effect.added_permille) / 1_000.0)
     }
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -347,7 +347,7 @@
 
 /// What a fill at full pace adds to the load of tasks of an image, as far as that is known.
 fn added_load(key: &RunKey, image: &str, traits: &HashMap<TaskName, TaskTraits>) -> f64 {
-    let known = traits.get(&key.0).and_then(|traits| traits.added(image));
+    let known = traits.get(&key.0).and_then(|traits| traits.added_load(image));
     known.unwrap_or(FIRST_ADDED).max(MIN_ADDED_LOAD)
 }
 
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::connection::node_protocol::ImageEffect;
+use crate::connection::node_protocol::ImageInterference;
 use crate::ids::ImageName;
 use crate::ids::JobId;
 use crate::workflow::assigned_run::AssignedRun;
@@ -263,10 +263,10 @@
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.effects("x").is_empty());
     /// ```
-    pub fn effects(&self, image: &str) -> Vec<ImageEffect> {
+    pub fn effects(&self, image: &str) -> Vec<ImageInterference> {
         let effect = |(serving, pairs): (&ImageName, &BTreeMap<ImageName, Estimate>)| {
             let added_permille = (pairs.get(image)?.value * 1_000.0) as u32;
-            Some(ImageEffect { serving: serving.clone(), added_permille })
+            Some(ImageInterference { serving: serving.clone(), added_permille })
         };
         self.pairs.iter().filter_map(effect).collect()
     }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use crate::connection::node_protocol::EndedRun;
-use crate::connection::node_protocol::ImageEffect;
+use crate::connection::node_protocol::ImageInterference;
 use crate::connection::node_protocol::NodeOrder;
 use crate::connection::node_protocol::NodeReport;
 use crate::connection::node_protocol::PresentRun;
@@ -39,7 +39,7 @@
         return true;
     };
     let known = |serving: &str| told.effects.iter().find(|effect| effect.serving == serving);
-    let is_different = |effect: &ImageEffect| {
+    let is_different = |effect: &ImageInterference| {
         known(&effect.serving).is_none_or(|old| {
             old.added_permille.abs_diff(effect.added_permille) >= MIN_SENT_CHANGE_PERMILLE
         })
--- a/tests/late_pace.rs
+++ b/tests/late_pace.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use greengagearch::connection::node_protocol::ImageEffect;
+use greengagearch::connection::node_protocol::ImageInterference;
 use greengagearch::connection::node_protocol::LinkStamp;
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::StartOrder;
@@ -142,7 +142,7 @@
 }
 
 fn traits(task: &str, target_ms: u64) -> TaskTraits {
-    let effect = ImageEffect { serving: "image".to_string(), added_permille: 300 };
+    let effect = ImageInterference { serving: "image".to_string(), added_permille: 300 };
     TaskTraits {
         image: "image".to_string(),
         target_ms,
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use greengagearch::connection::node_protocol::ImageEffect;
+use greengagearch::connection::node_protocol::ImageInterference;
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::TaskTraits;
 use greengagearch::workflow::pacing::PaceChange;
@@ -48,7 +48,7 @@
         worker.traits.insert(serving.task.clone(), serving);
         for (number, (told, real)) in fills.iter().enumerate() {
             let added_permille = (told * 1_000.0) as u32;
-            let effect = ImageEffect { serving: "image".to_string(), added_permille };
+            let effect = ImageInterference { serving: "image".to_string(), added_permille };
             let fill = traits(&format!("f.0.0.{number}"), 0, vec![effect]);
             worker.fills.push((fill.task.clone(), *real));
             worker.paces.insert(fill.task.clone(), 1.0);
@@ -98,7 +98,7 @@
     (IDLE_MS / (1.0 - load).max(0.001)).min(LONGEST_TAIL_MS)
 }
 
-fn traits(task: &str, target_ms: u64, effects: Vec<ImageEffect>) -> TaskTraits {
+fn traits(task: &str, target_ms: u64, effects: Vec<ImageInterference>) -> TaskTraits {
     TaskTraits {
         task: task.parse().unwrap(),
         image: "image".to_string(),
@@ -205,7 +205,7 @@
             let serving = traits(task, TARGET_MS, Vec::new());
             known.insert(serving.task.clone(), serving);
         }
-        let effect = ImageEffect { serving: "image".to_string(), added_permille: 100 };
+        let effect = ImageInterference { serving: "image".to_string(), added_permille: 100 };
         let fill = traits("f.0.0.0", 0, vec![effect]);
         known.insert(fill.task.clone(), fill);
         let control = PaceController::default();
