--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -53,7 +53,7 @@
     /// The runner's life that `seen` belongs to.
     pub instance: Option<InstanceId>,
     /// Number of the last end that is stored for good.
-    pub seen: u64,
+    pub last_acked_end: u64,
     /// How long the answer may wait for news.
     pub wait: Duration,
 }
@@ -113,7 +113,7 @@
     /// Share of its speed at which the agent lets it work, in percent.
     pub pace_percent: u32,
     /// The mean of that over the span that the tails of this look tell of, in percent.
-    pub measured_percent: u32,
+    pub mean_pace_percent: u32,
     /// Tail latency in milliseconds of a task that serves, else thousandths of a core in use.
     pub usage: u64,
 }
@@ -135,7 +135,7 @@
             checkpoint: CheckpointRef::new(),
             progress_percent: 0,
             pace_percent: 100,
-            measured_percent: 100,
+            mean_pace_percent: 100,
             usage: 0,
         }
     }
--- a/src/platform/runner_client.rs
+++ b/src/platform/runner_client.rs
@@ -290,7 +290,7 @@
         checkpoint: checkpoint.unwrap_or_default(),
         progress_percent: progress as u32,
         pace_percent: FULL_PACE,
-        measured_percent: FULL_PACE,
+        mean_pace_percent: FULL_PACE,
         usage: usage.unwrap_or(0.0) as u64,
     })
 }
--- a/src/process/node/state.rs
+++ b/src/process/node/state.rs
@@ -257,7 +257,7 @@
         if call.instance.is_none() || call.instance.as_ref() != self.current_instance() {
             return;
         }
-        self.acknowledged_end = self.acknowledged_end.max(call.seen);
+        self.acknowledged_end = self.acknowledged_end.max(call.last_acked_end);
         if let Some(grant) = call.grant {
             self.lease.grant(self.started + grant.since + grant.span);
         }
@@ -327,7 +327,7 @@
         for run in &mut present {
             let key = (run.task.clone(), run.run);
             run.pace_percent = self.pace.ordered_percent(&key);
-            run.measured_percent = self.pace.mean_percent(&key, now);
+            run.mean_pace_percent = self.pace.mean_percent(&key, now);
         }
         self.update_snapshot(number, present, response.ended);
         self.has_changes
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -157,7 +157,7 @@
             stamp: self.stamp,
             grant: None,
             instance: None,
-            seen: 0,
+            last_acked_end: 0,
             wait: Duration::ZERO,
         };
         let mut is_new_link = true;
@@ -235,7 +235,7 @@
             stamp: self.stamp,
             grant: None,
             instance: instance.clone(),
-            seen: 0,
+            last_acked_end: 0,
             wait: SYNC_WAIT,
         };
         let mut owned = self.shared.owned();
@@ -243,7 +243,7 @@
             let span = lease_duration(owned.proof, received);
             owned.planner.on_grant(&instance, expired_by(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
-            call.seen = owned.planner.last_acked_end(&instance);
+            call.last_acked_end = owned.planner.last_acked_end(&instance);
         }
         call
     }
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -329,7 +329,7 @@
     let mut is_clear = true;
     for run in worker.assigned.values().filter(|run| run.best_effort) {
         if let Some(begin) = run.first_reported_at {
-            let measured = run.last_report.as_ref().map_or(0, |seen| seen.measured_percent);
+            let measured = run.last_report.as_ref().map_or(0, |seen| seen.mean_pace_percent);
             is_clear &= add(&run.image, begin, now, measured);
         }
     }
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -260,7 +260,7 @@
         for run in &mut present {
             let key = (run.task.clone(), run.run);
             run.pace_percent = self.control.ordered_percent(&key);
-            run.measured_percent = self.control.mean_percent(&key, at);
+            run.mean_pace_percent = self.control.mean_percent(&key, at);
         }
         let status = RunnerStatus {
             instance: self.name.clone(),
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -59,7 +59,7 @@
         stamp,
         grant: Some(LeaseGrant { since: Duration::ZERO, span }),
         instance: Some("i-1".to_string()),
-        seen: 0,
+        last_acked_end: 0,
         wait: Duration::ZERO,
     }
 }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -55,13 +55,13 @@
 }
 
 /// A grant of nine seconds for a life, counted from a time that the agent has sent.
-fn grant(instance: &str, since_seconds: u64, seen: u64) -> SyncCall {
+fn grant(instance: &str, since_seconds: u64, last_acked_end: u64) -> SyncCall {
     let since = Duration::from_secs(since_seconds);
     SyncCall {
         stamp: STAMP,
         grant: Some(LeaseGrant { since, span: Duration::from_secs(9) }),
         instance: Some(instance.to_string()),
-        seen,
+        last_acked_end,
         wait: Duration::ZERO,
     }
 }
--- a/tests/planning_world/events.rs
+++ b/tests/planning_world/events.rs
@@ -154,7 +154,13 @@
         link.is_new = true;
         link.is_up = true;
         link.unanswered.clear();
-        let call = SyncCall { stamp, grant: None, instance: None, seen: 0, wait: Duration::ZERO };
+        let call = SyncCall {
+            stamp,
+            grant: None,
+            instance: None,
+            last_acked_end: 0,
+            wait: Duration::ZERO,
+        };
         self.sync(planner, agent, call);
     }
 
@@ -202,7 +208,7 @@
             stamp: LinkStamp { epoch: process.epoch, link },
             grant: None,
             instance: instance.clone(),
-            seen: 0,
+            last_acked_end: 0,
             wait: Duration::from_millis(400),
         };
         if let Some(instance) = instance {
@@ -211,9 +217,9 @@
                 process.planner.on_grant(&instance, expired_by(now, span));
             }
             call.grant = Some(LeaseGrant { since, span });
-            call.seen = process.planner.last_acked_end(&instance);
+            call.last_acked_end = process.planner.last_acked_end(&instance);
             if self.missing == Missing::StoredBeforeSeen {
-                call.seen = ends.unwrap_or(0).max(call.seen);
+                call.last_acked_end = ends.unwrap_or(0).max(call.last_acked_end);
             }
         }
         self.sync(planner, agent, call);
--- a/tests/platform_path.rs
+++ b/tests/platform_path.rs
@@ -252,7 +252,7 @@
         stamp: LinkStamp { epoch: 1, link: 1 },
         grant: None,
         instance: None,
-        seen: 0,
+        last_acked_end: 0,
         wait: Duration::from_millis(200),
     };
     env.until(async || {
