--- a/src/connection/answer_timer.rs
+++ b/src/connection/answer_timer.rs
@@ -1,33 +1,35 @@
-//! How long an answer is waited for, learned from how long the last ones took.
+//! Adaptive timeout of calls to a peer, derived from the response times of recent calls.
 //!
-//! A fixed limit is too short for a peer that is slow for a while: each call is given up shortly before its answer and
-//! made again, and what is carried out twice makes the peer slower still. The limit is the mean time of an answer and four times its
-//! deviation, as for retransmissions of TCP (Jacobson, "Congestion avoidance and control", SIGCOMM 1988; RFC 6298),
-//! and a call without an answer counts as one that took all its time.
+//! A fixed timeout is too short while a peer is slow: each call is abandoned shortly before its
+//! response and repeated, and the duplicated work slows the peer further. The timeout is the mean
+//! response time plus four times its mean deviation, as for retransmissions of TCP (Jacobson,
+//! "Congestion avoidance and control", SIGCOMM 1988; RFC 6298). A call that timed out is recorded
+//! with its whole timeout as its response time.
 
 use std::time::Duration;
 
-/// Least limit: a store that answers in 4 ms as a rule may be sixty times slower from one call to the next.
-const LEAST_LIMIT: Duration = Duration::from_millis(1_000);
-/// Greatest limit: a second in which transactions may wait before the store refuses more of them, two thirds of a second in which
-/// one is carried out and answered a hundred times slower than usual, and some. A connection that went silent costs no more.
-const GREATEST_LIMIT: Duration = Duration::from_millis(2_000);
-/// Weight of the newest time in the mean.
+/// Lower bound. A store that usually responds within 4 ms can be 60 times slower on the next call.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Upper bound, and so the cost of a call on a connection that went silent. It covers 1 s that
+/// transactions may queue before the store refuses further ones and 0.67 s for one that runs 100
+/// times slower than usual, with a margin.
+const MAX_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Weight of the newest response time in the mean.
 const MEAN_WEIGHT: f64 = 0.125;
-/// Weight of the newest time in the deviation.
+/// Weight of the newest error in the mean deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Deviations from the mean within which an answer is expected.
-const DEVIATIONS: f64 = 4.0;
+/// Multiple of the mean deviation that the timeout adds to the mean.
+const DEVIATION_FACTOR: f64 = 4.0;
 
-/// The limit on the time of calls to one peer.
+/// Adaptive timeout of the calls to one peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerTimer {
     mean_seconds: f64,
-    deviation: f64,
+    deviation_seconds: f64,
 }
 
 impl AnswerTimer {
-    /// Time for the next answer.
+    /// Returns the timeout for the next call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -37,11 +39,11 @@
     /// assert_eq!(AnswerTimer::default().limit(), Duration::from_secs(1));
     /// ```
     pub fn limit(&self) -> Duration {
-        let expected = self.mean_seconds + DEVIATIONS * self.deviation;
-        Duration::from_secs_f64(expected).clamp(LEAST_LIMIT, GREATEST_LIMIT)
+        let expected = self.mean_seconds + DEVIATION_FACTOR * self.deviation_seconds;
+        Duration::from_secs_f64(expected).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 
-    /// Takes in how long an answer took, or how long one was waited for in vain.
+    /// Records the response time of a call, or its timeout if there was no response.
     ///
     /// ```
     /// use std::time::Duration;
@@ -54,9 +56,9 @@
     /// }
     /// assert!(timer.limit() > Duration::from_millis(1_800));
     /// ```
-    pub fn on_time(&mut self, took: Duration) {
-        let error = took.as_secs_f64() - self.mean_seconds;
+    pub fn on_time(&mut self, response_time: Duration) {
+        let error = response_time.as_secs_f64() - self.mean_seconds;
         self.mean_seconds += MEAN_WEIGHT * error;
-        self.deviation += DEVIATION_WEIGHT * (error.abs() - self.deviation);
+        self.deviation_seconds += DEVIATION_WEIGHT * (error.abs() - self.deviation_seconds);
     }
 }
--- a/src/connection/counted_stream.rs
+++ b/src/connection/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what the system's own processes say to each other.
+//! A TCP stream that counts the bytes sent and received between processes of the system.
 
 use std::io;
 use std::pin::Pin;
@@ -12,21 +12,21 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-static SENT: AtomicU64 = AtomicU64::new(0);
-static RECEIVED: AtomicU64 = AtomicU64::new(0);
+static SENT_BYTES: AtomicU64 = AtomicU64::new(0);
+static RECEIVED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes that this process has sent to and received from other processes of the system, without
-/// the headers of TCP and IP.
+/// Returns the bytes that this process has sent to and received from other processes of the system,
+/// excluding TCP and IP headers.
 ///
 /// ```
 /// let (sent, received) = greengagearch::connection::counted_stream::byte_counts();
 /// assert_eq!((sent, received), (0, 0));
 /// ```
 pub fn byte_counts() -> (u64, u64) {
-    (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
+    (SENT_BYTES.load(Ordering::Relaxed), RECEIVED_BYTES.load(Ordering::Relaxed))
 }
 
-/// A TCP stream whose bytes are counted.
+/// A TCP stream whose bytes are added to the totals of [`byte_counts`].
 #[derive(Debug)]
 pub struct CountedStream(pub TcpStream);
 
@@ -36,9 +36,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.0).poll_read(context, buffer);
-        RECEIVED.fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
+        RECEIVED_BYTES.fetch_add((buffer.filled().len() - filled_before) as u64, Ordering::Relaxed);
         polled
     }
 }
@@ -51,7 +51,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.0).poll_write(context, data);
         if let Poll::Ready(Ok(written)) = &polled {
-            SENT.fetch_add(*written as u64, Ordering::Relaxed);
+            SENT_BYTES.fetch_add(*written as u64, Ordering::Relaxed);
         }
         polled
     }
--- a/src/connection/grant_arbiter.rs
+++ b/src/connection/grant_arbiter.rs
@@ -1,14 +1,19 @@
-//! The member's side of grants: when an entry may promise to take nothing over.
+//! Decides when an entry may grant a lease holder that it will not take the lease over.
 
 use std::collections::BTreeMap;
 
 use crate::ids::LeaseEpoch;
 
-/// Decides which heartbeats an entry answers with a grant.
+/// Decides which heartbeats of lease holders an entry answers with a grant.
 ///
-/// A grant is refused while a change of the cluster map that this entry wrote may take effect,
-/// to a holder that knows an older map than this entry, and to a holder whose lease this entry has
-/// begun to take over. The map's generation must be raised here as soon as it is learned.
+/// A grant is denied
+///
+/// - while a change of the cluster map that this entry has sent may still take effect,
+/// - to a holder that knows an older cluster map than this entry, and
+/// - to a holder whose lease this entry has started to take over.
+///
+/// The owner of this value has to call [`GrantArbiter::on_map`] as soon as it learns of a newer
+/// map.
 #[derive(Clone, Debug, Default)]
 pub struct GrantArbiter {
     generation: u64,
@@ -17,64 +22,68 @@
 }
 
 impl GrantArbiter {
-    /// Takes in a newer map's generation.
+    /// Records the generation of a cluster map that this entry has learned of.
     ///
     /// ```
     /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantArbiter::default();
-    /// desk.on_map(2);
-    /// assert!(!desk.may_grant("worker/w1", 1, 1));
-    /// assert!(desk.may_grant("worker/w1", 1, 2));
+    /// let mut arbiter = GrantArbiter::default();
+    /// arbiter.on_map(2);
+    /// assert!(!arbiter.may_grant("worker/w1", 1, 1));
+    /// assert!(arbiter.may_grant("worker/w1", 1, 2));
     /// ```
     pub fn on_map(&mut self, generation: u64) {
         self.generation = self.generation.max(generation);
     }
 
-    /// Must be called before a change of the map is sent to the table service.
+    /// Denies all grants until [`GrantArbiter::end_change`]. Must be called before a change of the
+    /// cluster map is sent to the table service.
     ///
     /// ```
     /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantArbiter::default();
-    /// desk.begin_change();
-    /// assert!(!desk.may_grant("worker/w1", 1, 0));
+    /// let mut arbiter = GrantArbiter::default();
+    /// arbiter.begin_change();
+    /// assert!(!arbiter.may_grant("worker/w1", 1, 0));
     /// ```
     pub fn begin_change(&mut self) {
         self.change_pending = true;
     }
 
-    /// Must be called once the outcome of the change is known, with the map's generation by then.
+    /// Ends the denial of all grants. Must be called once the outcome of the change is known, with
+    /// the generation that the cluster map has then.
     ///
     /// ```
     /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantArbiter::default();
-    /// desk.begin_change();
-    /// desk.end_change(1);
-    /// assert!(desk.may_grant("worker/w1", 1, 1));
+    /// let mut arbiter = GrantArbiter::default();
+    /// arbiter.begin_change();
+    /// arbiter.end_change(1);
+    /// assert!(arbiter.may_grant("worker/w1", 1, 1));
     /// ```
     pub fn end_change(&mut self, generation: u64) {
         self.on_map(generation);
         self.change_pending = false;
     }
 
-    /// Must be called before a takeover of `lease` to `epoch` is sent to the table service.
+    /// Denies grants to holders of `lease` with an epoch before `epoch`. Must be called before a
+    /// takeover of the lease under `epoch` is sent to the table service.
     ///
     /// ```
     /// use greengagearch::connection::grant_arbiter::GrantArbiter;
     ///
-    /// let mut desk = GrantArbiter::default();
-    /// desk.supersede("worker/w1", 2);
-    /// assert!(!desk.may_grant("worker/w1", 1, 0));
-    /// assert!(desk.may_grant("worker/w1", 2, 0));
+    /// let mut arbiter = GrantArbiter::default();
+    /// arbiter.supersede("worker/w1", 2);
+    /// assert!(!arbiter.may_grant("worker/w1", 1, 0));
+    /// assert!(arbiter.may_grant("worker/w1", 2, 0));
     /// ```
     pub fn supersede(&mut self, lease: &str, epoch: LeaseEpoch) {
         let known = self.superseded.entry(lease.to_string()).or_insert(epoch);
         *known = epoch.max(*known);
     }
 
-    /// Whether the holder of `lease` at `epoch`, who knows the map of `generation`, gets a grant.
+    /// Returns whether the holder of `lease` under `epoch`, which knows the cluster map of
+    /// `generation`, may be given a grant.
     ///
     /// ```
     /// use greengagearch::connection::grant_arbiter::GrantArbiter;
--- a/src/connection/lease.rs
+++ b/src/connection/lease.rs
@@ -1,17 +1,22 @@
-//! The holder's side of an exclusive lease, and the wait of who takes it over.
+//! Exclusive leases: how long a holder may act, and how long its successor has to wait.
 //!
-//! A lease is named in a row of the table service and needs no write to stay valid (Gray and
-//! Cheriton, "Leases", SOSP 1989, with the renewal turned into a read). Its holder is valid
+//! A row of the table service names the holder of a lease. The holder renews the lease by reading
+//! the row, without a write (Gray and Cheriton, "Leases", SOSP 1989, with the renewal turned into
+//! a read). The lease is valid
 //!
-//! - until `freshness` after it sent a read that found it still named in the row, or
-//! - until the earliest end of unexpired grants from *every* member of the cluster map it relies on;
-//!   a grant is a member's promise to act on no takeover for that long,
+//! - until `freshness` after the holder sent a read that found it still named in the row, or
+//! - until the earliest expiry among the grants of *all* members of the cluster map that the lease
+//!   relies on; a grant is a member's promise not to act on a takeover of the lease for that long,
 //!
-//! but never longer than `longest_grant_only` after the last fresh read. A lease whose row is not
-//! the cluster map's own relies on the members of the map that was known when the last fresh read
-//! was sent, and on no newer one: a member that took the lease over may be gone from the newer map.
-//! Who takes a lease over writes the row first and acts only after [`LeaseTiming::takeover_wait`]. The reasoning stands
-//! in `docs/notes/leases.md`.
+//! but never longer than `longest_grant_only` after the last read that named the holder was sent.
+//!
+//! A lease that is recorded in the row of the cluster map relies on the map in that row. Every
+//! other lease relies on the members of the map that was known when that last read was sent, never
+//! on a newer map: a member that has taken the lease over may be missing from the newer map, and
+//! then its grant would not be required.
+//!
+//! A process that takes a lease over first writes the row and then waits for
+//! [`LeaseTiming::takeover_wait`] before it acts. `docs/notes/leases.md` has the full argument.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,24 +26,25 @@
 use crate::ids::IncarnationId;
 use crate::ids::LeaseEpoch;
 
-/// Epoch of a lease that nobody held before.
+/// Epoch of a lease that has had no earlier holder.
 pub const FIRST_EPOCH: LeaseEpoch = 1;
 
-/// The time spans of one kind of lease.
+/// Durations that apply to one kind of lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// How long a read of the row keeps the holder valid.
+    /// How long a read of the row that names the holder keeps the lease valid.
     pub freshness: Duration,
-    /// How long a member's grant keeps the holder valid.
+    /// How long a grant of a member lasts.
     pub grant: Duration,
-    /// How long grants alone may keep the holder valid, from its last fresh read.
+    /// How long grants alone may keep the lease valid, from the last read that named the holder.
     pub longest_grant_only: Duration,
-    /// Highest difference in speed of two monotonic clocks, in parts per thousand.
+    /// Largest drift between the monotonic clocks of two hosts, in parts per thousand.
     pub drift_per_mille: u32,
 }
 
 impl LeaseTiming {
-    /// How long a new holder waits after its takeover was written, by its own clock.
+    /// Returns how long a new holder has to wait after its takeover was written, by its own clock,
+    /// until the lease of the previous holder has surely expired.
     ///
     /// ```
     /// use std::time::Duration;
@@ -54,11 +60,12 @@
     /// assert_eq!(timing.takeover_wait(), Duration::from_millis(2_020));
     /// ```
     pub fn takeover_wait(&self) -> Duration {
-        self.stretched(self.freshness.max(self.grant))
+        self.with_drift(self.freshness.max(self.grant))
     }
 
-    /// How long nobody acts after a change of the cluster map that was written without any member's
-    /// help, counted from when the change is learned.
+    /// Returns how long no new holder may act after a change of the cluster map that was written
+    /// without the participation of any previous member, counted from when the change becomes
+    /// known. Until then, grants of the removed members may keep other leases valid.
     ///
     /// ```
     /// use std::time::Duration;
@@ -74,31 +81,32 @@
     /// assert_eq!(timing.unaided_join_wait(), Duration::from_secs(302));
     /// ```
     pub fn unaided_join_wait(&self) -> Duration {
-        self.stretched(self.longest_grant_only + self.grant)
+        self.with_drift(self.longest_grant_only + self.grant)
     }
 
-    fn stretched(&self, span: Duration) -> Duration {
+    fn with_drift(&self, span: Duration) -> Duration {
         span + span * self.drift_per_mille / 1_000
     }
 }
 
-/// What a holder knows of its own validity.
+/// The state from which a lease holder determines until when its lease is valid.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     timing: LeaseTiming,
     epoch: LeaseEpoch,
     map_generation: u64,
     members: Vec<IncarnationId>,
-    /// When the newest read was sent that named the holder.
+    /// When the most recent read of the row was sent.
     last_read: Option<Instant>,
-    /// Grant ends by member incarnation.
+    /// Expiry of the latest grant of each member.
     grants: BTreeMap<IncarnationId, Instant>,
     lost: bool,
 }
 
 impl LeaseHolder {
-    /// The holder of a lease that was taken over under `epoch`. It is valid only once a read that
-    /// it sent itself has named it, since the news of a takeover may be old when it comes.
+    /// Creates the state for a lease that was acquired under `epoch`. The lease becomes valid only
+    /// with the first read that names the holder: the notification of the takeover may have been
+    /// delayed, and another process may have taken the lease over since.
     ///
     /// ```
     /// use std::time::Duration;
@@ -132,8 +140,8 @@
         }
     }
 
-    /// Lets the lease rely on the members of `map`; a map older than the one it relies on changes
-    /// nothing.
+    /// Makes the lease rely on the grants of the members of `map`. A map older than the current one
+    /// is ignored.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -155,7 +163,8 @@
         self.grants.retain(|member, _| self.members.contains(member));
     }
 
-    /// Generation of the map that the lease relies on; grants are asked for under it.
+    /// Returns the generation of the cluster map that the lease relies on. Heartbeats that request
+    /// grants carry it.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -169,7 +178,7 @@
         self.map_generation
     }
 
-    /// Epoch of the lease.
+    /// Returns the epoch of the lease.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -183,7 +192,8 @@
         self.epoch
     }
 
-    /// Takes in a read, sent at `sent`, that found `epoch` in the row.
+    /// Records a read of the row that was sent at `sent` and returned `epoch`. If it differs from
+    /// the epoch of the holder, the lease is lost for good.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -203,7 +213,7 @@
         self.last_read = self.last_read.max(Some(sent));
     }
 
-    /// Takes in a grant that `member` gave in answer to a heartbeat sent at `sent`.
+    /// Records the grant in the response of `member` to a heartbeat sent at `sent`.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -214,12 +224,13 @@
     /// LeaseHolder::new(timing, 4).on_grant(1, Instant::now());
     /// ```
     pub fn on_grant(&mut self, member: IncarnationId, sent: Instant) {
-        let until = sent + self.timing.grant;
-        let end = self.grants.entry(member).or_insert(until);
-        *end = until.max(*end);
+        let expiry = sent + self.timing.grant;
+        let end = self.grants.entry(member).or_insert(expiry);
+        *end = expiry.max(*end);
     }
 
-    /// The instant at which the holder must stop, or nothing when the lease is lost or was never read.
+    /// Returns when the holder must stop acting, or `None` if the lease is lost or its row has not
+    /// been read yet.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -238,12 +249,12 @@
         }
         let last_read = self.last_read?;
         let by_read = last_read + self.timing.freshness;
-        let last = last_read + self.timing.longest_grant_only;
-        let by_grants = self.granted_until().map(|end| end.min(last));
+        let latest = last_read + self.timing.longest_grant_only;
+        let by_grants = self.granted_until().map(|end| end.min(latest));
         Some(by_grants.map_or(by_read, |end| end.max(by_read)))
     }
 
-    /// Whether the holder may act at `now`.
+    /// Returns whether the holder may act at `now`.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -258,7 +269,8 @@
         self.valid_until().is_some_and(|end| now < end)
     }
 
-    /// Earliest end among the grants of all members; nothing when a member gave none.
+    /// Returns the earliest expiry among the grants of all members, or `None` if a member has given
+    /// no grant or there are no members.
     fn granted_until(&self) -> Option<Instant> {
         let mut earliest = None;
         for member in &self.members {
--- a/src/connection/mod.rs
+++ b/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as a connection between two processes: membership, leases, announcements.
+//! State and messages shared between processes: cluster membership, leases, announcements of
+//! endpoints, and the RPC protocols with their clients.
 
 pub mod announcement;
 pub mod answer_timer;
--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -1,7 +1,8 @@
-//! Messages between the planner and the node agents.
+//! RPC protocol between the planner and the node agents.
 //!
-//! The planner dials the agents. Calls carry the planner's epoch and the number of the link; an agent
-//! refuses everything that is older than what it has seen.
+//! The planner connects to the agents. Each call carries the planner's epoch and the number of the
+//! link (the connection). An agent rejects calls with an older epoch, or an older link of the same
+//! epoch, than the newest that it has received.
 
 use std::time::Duration;
 
@@ -20,63 +21,64 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
-/// Age up to which a run is young. A program that crashes its worker as it starts does so well within this time.
+/// Age up to which a run counts as young. A program that crashes its runner at its start does so
+/// well within this time.
 pub const MAX_YOUNG_AGE: Duration = Duration::from_millis(1_000);
-/// Young runs that a line of the log names.
-const YOUNG_SHOWN: usize = 6;
+/// Maximum number of young runs in one log line.
+const MAX_YOUNG_LOGGED: usize = 6;
 
-/// Identifies the sender of a call and its place among the calls that an agent gets.
+/// Identifies the sender of a call. Stamps are ordered: a newer planner or link has a greater one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LinkStamp {
-    /// Epoch of the planner.
+    /// Epoch of the planner's ownership.
     pub epoch: PlannerEpoch,
-    /// Number of the planner's connection to this agent, rising.
+    /// Number of the planner's connection to this agent; it increases with each connection.
     pub link: u64,
 }
 
-/// The planner's consent that the leases of everything on a worker are extended.
+/// Permission of the planner to extend the leases of all runs on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Time of the agent's own clock that `span` counts from; the agent sent it.
+    /// Start of `span` on the agent's monotonic clock, as received in [`NodeReport::now`].
     pub since: Duration,
-    /// How long after `since` leases may last.
+    /// Time after `since` until which the leases may be extended.
     pub span: Duration,
 }
 
-/// Asks an agent for its state; the answer waits for news.
+/// Request for the state of an agent. The agent delays its response until something has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncCall {
     /// The sender.
     pub stamp: LinkStamp,
-    /// Extension of leases; nothing on the first call of a link.
+    /// Permission to extend leases; `None` on the first call of a link.
     pub grant: Option<LeaseGrant>,
-    /// The runner's life that `seen` belongs to.
+    /// The runner instance that `last_acked_end` belongs to.
     pub instance: Option<InstanceId>,
-    /// Number of the last end that is stored for good.
+    /// Number of the last run end that the planner has committed to the store.
     pub last_acked_end: u64,
-    /// How long the answer may wait for news.
+    /// Maximum time for which the agent may wait for a change.
     pub wait: Duration,
 }
 
-/// What a runner says of itself.
+/// Description of a runner, as it registered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerStatus {
-    /// Its life.
+    /// The runner instance.
     pub instance: InstanceId,
-    /// Its service.
+    /// Name of the service that it provides.
     pub service: ServiceName,
-    /// Its failure domain.
+    /// Failure domain of the runner.
     pub domain: DomainName,
-    /// What it can hold.
+    /// Total resources of the runner.
     pub capacity: ResourceVector,
-    /// Its kind and its rack.
+    /// Labels of the runner; the last one is its rack.
     pub labels: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether the runner is draining and accepts no further runs.
     pub draining: bool,
 }
 
 impl RunnerStatus {
-    /// Its rack: the last of its labels.
+    /// Returns the rack of the runner, which is the last of its labels.
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::RunnerStatus;
@@ -97,29 +99,29 @@
     }
 }
 
-/// A run that a worker has, or is about to have.
+/// A run that is present on a worker, or for which a start is in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PresentRun {
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: RunNumber,
-    /// Whether the runner shows it; else its start is on its way.
+    /// Whether the runner lists the run; otherwise its start order is still being delivered.
     pub is_started: bool,
-    /// Its newest saved work.
+    /// Its newest checkpoint.
     pub checkpoint: CheckpointRef,
-    /// Share of its work that is done, in percent; of a task that lasts, 100 when it is at work.
+    /// Progress in percent; 100 for a long-running task once it is working.
     pub progress_percent: u32,
-    /// Share of its speed at which the agent lets it work, in percent.
+    /// Pace to which the agent limits the run, in percent of full speed.
     pub pace_percent: u32,
-    /// The mean of that over the span that the tails of this look tell of, in percent.
+    /// Mean pace over the measurement window of the tail latencies in this snapshot, in percent.
     pub mean_pace_percent: u32,
-    /// Tail latency in milliseconds of a task that serves, else thousandths of a core in use.
+    /// Tail latency in milliseconds for a serving task, otherwise CPU usage in millicores.
     pub usage: u64,
 }
 
 impl PresentRun {
-    /// A run of which nothing is known but that it was ordered: it works at full pace.
+    /// Returns a run whose start was ordered and has not been confirmed yet, at full pace.
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::PresentRun;
@@ -144,63 +146,63 @@
 /// A run that has ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// Number of the end in this life of the runner.
+    /// Number of this end among the ends of the runner instance.
     pub number: u64,
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: RunNumber,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
-    /// Its newest saved work.
+    /// Its newest checkpoint.
     pub checkpoint: CheckpointRef,
 }
 
-/// Why a worker did not take a run.
+/// Why a worker rejected a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It has no room.
+    /// Its free resources do not suffice.
     Room,
-    /// It had this run or a later one of the task already.
+    /// It already had this run or a later run of the task.
     Old,
-    /// The order's lease had expired when it arrived.
+    /// The lease in the order had expired when the order arrived.
     Late,
-    /// It is not healthy.
+    /// It is unhealthy.
     Unwell,
-    /// It is leaving, or the order was for another life of it.
+    /// It is draining, or the order was meant for another runner instance.
     Leaving,
-    /// The ticket is not valid, or missing.
+    /// The ticket of the advice service is missing or invalid.
     Ticket,
-    /// It does not understand the order.
+    /// The order is malformed.
     Malformed,
 }
 
-/// A run that a worker did not take.
+/// A run that a worker rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedRun {
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: RunNumber,
-    /// Why.
+    /// Why the worker rejected it.
     pub reason: RejectReason,
 }
 
-/// What the agent saw when it last looked at its runner.
+/// State of the runner at the last poll by its agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerSnapshot {
-    /// All runs that the runner has or may still take.
+    /// All runs that the runner has or may still accept.
     pub present: Vec<PresentRun>,
-    /// Ends that are not stored yet.
+    /// Ended runs that the planner has not acknowledged as stored.
     pub ended: Vec<EndedRun>,
-    /// Runs that the runner refused.
+    /// Runs that the runner rejected.
     pub rejected: Vec<RejectedRun>,
-    /// The last order that is settled in this look.
+    /// Number of the last batch of orders whose outcome this snapshot includes.
     pub orders_seen: u64,
 }
 
 impl RunnerSnapshot {
-    /// Whether the runner itself shows a run, at work or as an end.
+    /// Returns whether the runner itself lists a run, as started or as ended.
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::RunnerSnapshot;
@@ -214,22 +216,24 @@
     }
 }
 
-/// A run that a runner began, or may have begun, shortly before its life broke off.
+/// A run that a runner instance started, or may have started, shortly before it crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct YoungRun {
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: RunNumber,
-    /// Time from the start to the first sign that the life had broken off; a paused agent sees it late.
+    /// Time from the start to when the agent first detected the crash; a paused agent detects it
+    /// late.
     pub max_age: Duration,
-    /// Time from the start to the last sign that the life went on.
+    /// Time from the start to the last response of the instance.
     pub min_age: Duration,
-    /// Whether the runner had said that the run began.
+    /// Whether the runner had confirmed the start.
     pub is_certain: bool,
 }
 
-/// Runs with their ages for a line of the log, few enough to keep it short.
+/// Formats the first few of `young` for a log line: each with its age in milliseconds, and a
+/// question mark if its start is not confirmed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -247,66 +251,67 @@
         let doubt = if run.is_certain { "" } else { "?" };
         format!("{}/{}:{}{doubt}", run.task, run.run, run.max_age.as_millis())
     };
-    let shown: Vec<String> = young.iter().take(YOUNG_SHOWN).map(text).collect();
+    let shown: Vec<String> = young.iter().take(MAX_YOUNG_LOGGED).map(text).collect();
     shown.join(" ")
 }
 
-/// The end of a life that the runner did not announce.
+/// A crash of a runner instance, which ended without deregistering.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerCrash {
-    /// The life.
+    /// The instance that crashed.
     pub instance: InstanceId,
-    /// Its newest runs, the youngest first.
+    /// Its young runs, the youngest first.
     pub young: Vec<YoungRun>,
 }
 
-/// An agent's state.
+/// State of an agent and its runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Time of the agent's steady clock when it sent this.
+    /// Time of the agent's monotonic clock when it sent this report.
     pub now: Duration,
-    /// The runner; nothing when none is known.
+    /// The current runner instance, or `None` if none is registered.
     pub runner: Option<RunnerStatus>,
-    /// Earlier lives of the runner, which run nothing any more.
+    /// Former instances of the runner, on which nothing runs any more.
     pub former: Vec<InstanceId>,
-    /// Runs given to them that the next life of the runner may have begun, or may yet.
+    /// Runs sent to former instances that their successor may have started or may still start.
     pub unsettled: Vec<RunKey>,
-    /// Of the former lives, those that broke off of late.
+    /// Recent crashes among the former instances.
     pub crashes: Vec<RunnerCrash>,
-    /// The newest look; nothing when the runner did not answer lately.
+    /// The newest snapshot, or `None` if the runner has not responded recently.
     pub snapshot: Option<RunnerSnapshot>,
 }
 
-/// What a task that fills adds to the load of tasks of one image that serve.
+/// Load that a best-effort task adds to serving tasks of one image on the same worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageInterference {
-    /// The image that serves.
+    /// Image of the serving tasks.
     pub serving: String,
-    /// The load, in thousandths.
+    /// Load added at full pace, in thousandths.
     pub added_permille: u32,
 }
 
-/// What the agent has to know of a task besides the order, to watch and pace it.
+/// Properties of a task by which the agent monitors it and controls its pace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskTraits {
     /// The task.
     pub task: TaskName,
-    /// What it runs.
+    /// Image that the task runs.
     pub image: String,
-    /// Bound on its tail latency in milliseconds; zero for a task that does not serve.
+    /// Target for its tail latency in milliseconds; zero for a task that is not a serving task.
     pub target_ms: u64,
-    /// Whether it fills what others leave.
+    /// Whether it is a best-effort task, which uses CPU time that serving tasks leave idle.
     pub best_effort: bool,
-    /// What it takes of the guarded capacity.
+    /// Resources that it reserves of the allocatable capacity.
     pub resources: ResourceVector,
-    /// What it adds at full pace to the loads of tasks that serve, by their images.
+    /// Load that it adds at full pace to serving tasks, for each of their images.
     pub effects: Vec<ImageInterference>,
-    /// Tail latency of a task that serves when nothing loads it, in milliseconds; zero when not known.
+    /// Tail latency of a serving task without load, in milliseconds; zero if unknown.
     pub idle_tail_ms: u32,
 }
 
 impl TaskTraits {
-    /// What the task adds at full pace to the load of tasks of an image, if that is known.
+    /// Returns the load that the task adds at full pace to serving tasks of an image, or `None` if
+    /// it is unknown.
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::ImageInterference;
@@ -330,62 +335,64 @@
     }
 }
 
-/// Orders that a task is started.
+/// An order to start a run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The run.
     pub run: RunNumber,
-    /// Text for the task.
+    /// Payload that is passed to the task.
     pub payload: String,
-    /// Saved work to resume from.
+    /// Checkpoint to resume from.
     pub checkpoint: CheckpointRef,
-    /// Permission of the advice service, if the queue needs one.
+    /// Ticket of the advice service, if the queue requires one.
     pub ticket: Option<String>,
-    /// What the agent has to know of the task.
+    /// Properties of the task.
     pub traits: TaskTraits,
-    /// Whether it was ordered before, maybe of an agent that has ended: a try of that one may be carried out yet.
+    /// Whether the same start was ordered before, possibly from an agent process that has ended
+    /// since: a delivery attempt of that process may still take effect.
     pub is_repeat: bool,
 }
 
-/// One order for a worker.
+/// An order for a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeOrder {
     /// Start a run.
     Start(StartOrder),
-    /// Stop a run; it saves its work first, if it can.
+    /// Stop a run, which first writes a checkpoint if it can.
     Stop(TaskName, RunNumber),
-    /// Know these tasks, which run already.
+    /// Record or update the properties of a task that already runs.
     Describe(TaskTraits),
 }
 
-/// Orders for one life of a runner.
+/// A batch of orders for one runner instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderCall {
     /// The sender.
     pub stamp: LinkStamp,
-    /// The life that is meant.
+    /// The runner instance that the orders are for.
     pub instance: InstanceId,
-    /// Number of these orders; numbers rise.
+    /// Number of the batch; each batch has a greater one than those before.
     pub number: u64,
-    /// Number of the orders before them over this link, zero for the first. Calls may overtake each other.
+    /// Number of the previous batch over this link, zero for the first. It shows the agent whether
+    /// an earlier batch is still missing, since calls may overtake each other.
     pub previous: u64,
-    /// The orders.
+    /// Orders of the batch.
     pub orders: Vec<NodeOrder>,
 }
 
-/// The caller is no longer the planner, or has a newer connection.
+/// The call came from a previous planner, or over a connection that its planner has replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
-#[snafu(display("epoch {} link {} was replaced", newest.epoch, newest.link))]
+#[snafu(display("stale link; newest is epoch {} link {}", newest.epoch, newest.link))]
 pub struct StaleLink {
-    /// The newest sender that the agent knows.
+    /// The newest sender from which the agent has received a call.
     pub newest: LinkStamp,
 }
 
-/// Services that a node agent offers to the planner.
+/// Calls that a node agent accepts from the planner.
 #[tarpc::service]
 pub trait NodeRpc {
-    /// Asks for the agent's state.
+    /// Extends the leases as granted and returns the state of the agent.
     async fn sync(call: SyncCall) -> Result<NodeReport, StaleLink>;
-    /// Hands over orders.
+    /// Accepts a batch of orders for the runner.
     async fn order(call: OrderCall) -> Result<(), StaleLink>;
 }
--- a/src/connection/planner_protocol.rs
+++ b/src/connection/planner_protocol.rs
@@ -1,4 +1,4 @@
-//! Messages between planner processes.
+//! RPC protocol between planner processes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,22 +11,23 @@
 use crate::ids::RowVersion;
 use crate::workflow::progress::JobStatus;
 
-/// What a planner process knows of a job.
+/// Response of a planner process to a query of a job's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusResponse {
-    /// Its state.
+    /// Status of the job.
     Known(JobStatus),
-    /// It does not know the job, or does not plan; the store knows.
+    /// The process does not know the job or is not the current planner; the job's row in the store
+    /// has to be read instead.
     Unknown,
 }
 
-/// Services that planner processes offer to each other.
+/// Calls that planner processes accept from each other.
 #[tarpc::service]
 pub trait PlannerRpc {
-    /// The state of a job.
+    /// Returns the status of a job.
     async fn status(job: JobId) -> StatusResponse;
-    /// Applies a transaction for a process that does not reach the store.
+    /// Commits a transaction on behalf of a process that cannot reach the store.
     async fn relay_commit(transaction: RowTransaction) -> Result<RowVersion, RowError>;
-    /// Reads a row for a process that does not reach the store.
+    /// Reads a row on behalf of a process that cannot reach the store.
     async fn relay_get(name: RowName) -> Result<Option<StoredRow>, RowError>;
 }
--- a/src/connection/retry_pace.rs
+++ b/src/connection/retry_pace.rs
@@ -1,49 +1,53 @@
-//! How often a process calls the store again after failures, so that all hosts together stay below what it bears.
+//! Rate of retries against the store, so that the retries of all hosts together stay below its
+//! capacity.
 //!
-//! Hosts do not talk about it: each raises its rate by a step after an answer and halves it after a failure, which
-//! makes the rates of all converge to equal shares of what the store bears (Chiu and Jain, "Analysis of the increase
-//! and decrease algorithms for congestion avoidance in computer networks", 1989). Pauses are spread at random, so that hosts that
-//! failed together do not come back together.
+//! Hosts do not coordinate their rates. Each one raises its own rate by a fixed step after a
+//! response and halves it after a failure; with this additive increase and multiplicative decrease,
+//! the rates converge to equal shares of the store's capacity (Chiu and Jain, "Analysis of the
+//! increase and decrease algorithms for congestion avoidance in computer networks", 1989). Pauses
+//! have random jitter, so that hosts whose calls failed at the same time do not retry at the same
+//! time.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Greatest rate of calls again, a second: right after a single failure a watch returns in about 0.1 s.
-const MOST_RATE: f64 = 10.0;
-/// Least rate of calls again, a second, for all watches of a process: readiness returns within half a second after an outage.
-const LEAST_RATE: f64 = 3.0;
-/// By how much an answer raises the rate, a second.
-const RATE_STEP: f64 = 1.0;
-/// What is left of the rate after a failure.
-const DECREASE: f64 = 0.5;
+/// Highest rate of retries per second. A watch resumes about 0.1 s after a single failure.
+const MAX_RATE_PER_S: f64 = 10.0;
+/// Lowest rate of retries per second, over all watches of a process. It lets a process become ready
+/// within half a second after an outage.
+const MIN_RATE_PER_S: f64 = 3.0;
+/// Increase of the rate, in retries per second, after a response.
+const RATE_INCREASE_PER_S: f64 = 1.0;
+/// Factor applied to the rate after a failure.
+const RATE_DECREASE_FACTOR: f64 = 0.5;
 
-/// The pace of one process's calls after failures.
+/// Limits the rate at which one process retries failed calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPace {
-    rate: f64,
-    /// Before this no further call may be made again.
-    free_at: Option<Instant>,
+    rate_per_s: f64,
+    /// Earliest time of the next retry that is not scheduled yet.
+    next_retry_at: Option<Instant>,
 }
 
 impl Default for RetryPace {
     fn default() -> RetryPace {
-        RetryPace { rate: MOST_RATE, free_at: None }
+        RetryPace { rate_per_s: MAX_RATE_PER_S, next_retry_at: None }
     }
 }
 
 impl RetryPace {
-    /// Takes in that a call was answered.
+    /// Raises the rate after a call was answered.
     ///
     /// ```
     /// let mut pace = greengagearch::connection::retry_pace::RetryPace::default();
     /// pace.on_answer();
     /// ```
     pub fn on_answer(&mut self) {
-        self.rate = (self.rate + RATE_STEP).min(MOST_RATE);
+        self.rate_per_s = (self.rate_per_s + RATE_INCREASE_PER_S).min(MAX_RATE_PER_S);
     }
 
-    /// Takes in that a call failed; gives the pause after which it may be made again. Calls of one process that failed follow
-    /// each other at the pace. `draw` is a random number from 0 to 1.
+    /// Lowers the rate after a call failed and returns the pause before its retry. Retries of one
+    /// process are spaced by the current rate. `jitter` is a random number from 0 to 1.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,11 +60,11 @@
     /// let first = pace.on_failure(now, 0.5);
     /// assert!(pace.on_failure(now, 0.5) > first);
     /// ```
-    pub fn on_failure(&mut self, now: Instant, draw: f64) -> Duration {
-        let spacing = Duration::from_secs_f64((0.5 + draw.clamp(0.0, 1.0)) / self.rate);
-        self.rate = (self.rate * DECREASE).max(LEAST_RATE);
-        let free_at = self.free_at.unwrap_or(now).max(now) + spacing;
-        self.free_at = Some(free_at);
-        free_at.saturating_duration_since(now)
+    pub fn on_failure(&mut self, now: Instant, jitter: f64) -> Duration {
+        let spacing = Duration::from_secs_f64((0.5 + jitter.clamp(0.0, 1.0)) / self.rate_per_s);
+        self.rate_per_s = (self.rate_per_s * RATE_DECREASE_FACTOR).max(MIN_RATE_PER_S);
+        let next_retry_at = self.next_retry_at.unwrap_or(now).max(now) + spacing;
+        self.next_retry_at = Some(next_retry_at);
+        next_retry_at.saturating_duration_since(now)
     }
 }
--- a/src/connection/rpc_client.rs
+++ b/src/connection/rpc_client.rs
@@ -1,4 +1,4 @@
-//! Connections to other processes of the system, kept open and replaced when they break.
+//! RPC clients of other processes: connections are cached, and replaced once they are closed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,45 +30,46 @@
 use crate::connection::protocol::AgentRpcClient;
 use crate::connection::protocol::EntryRpcClient;
 
-/// Longest wait for a connection.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest message between two processes in bytes.
-pub const LARGEST_FRAME: usize = 16 << 20;
+/// Size limit of a message between two processes.
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Why a call to another process gave no answer.
+/// Why a call to another process returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// Nothing was sent.
-    #[snafu(display("the process cannot be reached"))]
+    /// The connection could not be opened, so the call was not sent.
+    #[snafu(display("could not connect to the process; the call was not sent"))]
     NotSent,
-    /// It was sent, or may have been, and no answer came.
-    #[snafu(display("the process does not answer"))]
+    /// The call was or may have been sent, and no response was received.
+    #[snafu(display("no response from the process; the call may have been carried out"))]
     NoAnswer,
 }
 
 impl From<RpcError> for CallError {
     fn from(_: RpcError) -> CallError {
-        // tarpc does not tell whether a failed call had left the process, so every failure past the
-        // connection counts as sent.
+        // tarpc does not report whether a failed call was sent, so every failure on an open
+        // connection counts as possibly sent.
         CallError::NoAnswer
     }
 }
 
-/// A client type that is made from a connection.
+/// A client type that can be created on a TCP connection.
 pub trait RpcConnection: Clone + Send + 'static {
-    /// Makes a client on `stream`; the flag is raised when the connection has ended.
-    fn spawn(stream: TcpStream, ended: Arc<AtomicBool>) -> Self;
+    /// Creates a client on `stream` and spawns the task that drives it. The task sets `closed` when
+    /// the connection is closed.
+    fn spawn(stream: TcpStream, closed: Arc<AtomicBool>) -> Self;
 }
 
 macro_rules! impl_connection {
     ($client:ident) => {
         impl RpcConnection for $client {
-            fn spawn(stream: TcpStream, ended: Arc<AtomicBool>) -> $client {
+            fn spawn(stream: TcpStream, closed: Arc<AtomicBool>) -> $client {
                 let connection = $client::new(Config::default(), framed(stream));
                 tokio::spawn(async move {
-                    // The calls in flight get an error of their own.
+                    // Calls in flight return their own errors, so the result is not needed here.
                     let _ = connection.dispatch.await;
-                    ended.store(true, Ordering::Release);
+                    closed.store(true, Ordering::Release);
                 });
                 connection.client
             }
@@ -76,14 +77,14 @@
     };
 }
 
-/// The transport between two processes: length-prefixed frames, coded by bincode.
+/// Creates the transport between two processes: length-prefixed frames with bincode encoding.
 pub fn framed<I, S>(stream: TcpStream) -> Transport<CountedStream, I, S, Bincode<I, S>>
 where
     I: DeserializeOwned,
     S: Serialize,
 {
     let mut codec = LengthDelimitedCodec::builder();
-    let frames = codec.max_frame_length(LARGEST_FRAME).new_framed(CountedStream(stream));
+    let frames = codec.max_frame_length(MAX_FRAME_BYTES).new_framed(CountedStream(stream));
     serde_transport::new(frames, Bincode::default())
 }
 
@@ -95,10 +96,10 @@
 #[derive(Debug)]
 struct CachedClient<C> {
     client: C,
-    ended: Arc<AtomicBool>,
+    closed: Arc<AtomicBool>,
 }
 
-/// Open connections of one kind, by address.
+/// Open connections to processes of one kind, by address.
 #[derive(Debug)]
 pub struct ConnectionCache<C> {
     clients: Mutex<HashMap<String, CachedClient<C>>>,
@@ -111,11 +112,11 @@
 }
 
 impl<C: RpcConnection> ConnectionCache<C> {
-    /// The connection to `address`, opened when there is none.
+    /// Returns the client connected to `address`, and opens a connection if there is none.
     ///
     /// # Errors
     ///
-    /// [`CallError::NotSent`] when the process cannot be connected to.
+    /// [`CallError::NotSent`] if the connection cannot be opened.
     ///
     /// ```
     /// use greengagearch::connection::protocol::AgentRpcClient;
@@ -135,21 +136,21 @@
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await;
         let stream = connected.ok().and_then(Result::ok).ok_or(CallError::NotSent)?;
         stream.set_nodelay(true).map_err(|_| CallError::NotSent)?;
-        // Another call may have been quicker; calls share one connection.
+        // A concurrent call may have opened a connection meanwhile; all calls share one.
         if let Some(client) = self.open_client(address) {
             return Ok(client);
         }
-        let ended = Arc::new(AtomicBool::new(false));
-        let client = C::spawn(stream, ended.clone());
-        let cached = CachedClient { client: client.clone(), ended };
+        let closed = Arc::new(AtomicBool::new(false));
+        let client = C::spawn(stream, closed.clone());
+        let cached = CachedClient { client: client.clone(), closed };
         let mut clients = self.lock();
-        // Connections of processes that are gone would else be kept for ever.
-        clients.retain(|_, known| !known.ended.load(Ordering::Acquire));
+        // Closed connections to processes that no longer exist would otherwise never be removed.
+        clients.retain(|_, known| !known.closed.load(Ordering::Acquire));
         clients.insert(address.to_string(), cached);
         Ok(client)
     }
 
-    /// Closes the connection to `address`; the next call opens a new one.
+    /// Removes the connection to `address` from the cache; the next call opens a new one.
     ///
     /// ```
     /// use greengagearch::connection::protocol::AgentRpcClient;
@@ -164,7 +165,7 @@
     fn open_client(&self, address: &str) -> Option<C> {
         let clients = self.lock();
         let cached = clients.get(address)?;
-        (!cached.ended.load(Ordering::Acquire)).then(|| cached.client.clone())
+        (!cached.closed.load(Ordering::Acquire)).then(|| cached.client.clone())
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, CachedClient<C>>> {
@@ -172,7 +173,7 @@
     }
 }
 
-/// The context of a call that must end within `span`.
+/// Returns the context of a call with a deadline of `time_limit` from now.
 ///
 /// ```
 /// use std::time::Duration;
@@ -180,8 +181,8 @@
 /// let context = greengagearch::connection::rpc_client::call_within(Duration::from_secs(1));
 /// assert!(context.deadline > std::time::Instant::now());
 /// ```
-pub fn call_within(span: Duration) -> Context {
+pub fn call_within(time_limit: Duration) -> Context {
     let mut context = tarpc::context::current();
-    context.deadline = Instant::now() + span;
+    context.deadline = Instant::now() + time_limit;
     context
 }
--- a/src/connection/store_health.rs
+++ b/src/connection/store_health.rs
@@ -1,19 +1,21 @@
-//! What a process knows of the store from its own calls: when it last answered, and when it last refused.
+//! Health of the store as seen from the calls of this process: its last response and its last
+//! refusal.
 //!
-//! It tells a store that turns this host away, which others get round, from one that is slow for all, where each call through another
-//! host is one more in the same queue.
+//! It distinguishes a store that only this host cannot reach, where calls can be relayed through
+//! another host, from a store that is slow for all hosts, where each relayed call only lengthens
+//! the same queue.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Silence after which the store counts as out of reach: a wait of the watch of the configuration, which calls it without
-/// pause, and some.
-const SILENCE: Duration = Duration::from_millis(1_300);
-/// Time after a refusal in which a process passes on no calls of others: a store that is overloaded refuses all of them,
-/// and each call that is passed on is one more.
-const REFUSAL_MEMORY: Duration = Duration::from_millis(1_000);
+/// Time without a response after which the store counts as unreachable. It exceeds one long poll of
+/// the configuration watch, which calls the store continuously.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(1_300);
+/// Time after a refusal during which this process relays no calls of other processes: an overloaded
+/// store refuses the calls of all hosts, and each relayed call adds to its load.
+const RELAY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// The store as this process sees it.
+/// Health of the store as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreHealth {
     answered_at: Option<Instant>,
@@ -21,7 +23,7 @@
 }
 
 impl StoreHealth {
-    /// The health of a store that counts as near until it shows otherwise.
+    /// Creates the state at the start of the process: the store counts as reachable.
     ///
     /// ```
     /// use std::time::Instant;
@@ -35,17 +37,18 @@
         StoreHealth { answered_at: Some(now), refused_at: None }
     }
 
-    /// Takes in that a call was carried out or its condition did not hold.
+    /// Records a response of the store: the call was carried out or its condition did not hold.
     pub fn on_answer(&mut self, now: Instant) {
         self.answered_at = Some(now);
     }
 
-    /// Takes in that the store refused a call.
+    /// Records that the store refused a call.
     pub fn on_refusal(&mut self, now: Instant) {
         self.refused_at = Some(now);
     }
 
-    /// Takes in that a call was not answered in its time, and nothing else was meanwhile.
+    /// Records that a call timed out while no other call was answered. The store counts as
+    /// unreachable until its next response.
     ///
     /// ```
     /// use std::time::Instant;
@@ -63,13 +66,14 @@
         self.answered_at = None;
     }
 
-    /// Whether the store has answered of late.
+    /// Returns whether the store has responded recently.
     pub fn is_reachable(&self, now: Instant) -> bool {
-        self.answered_at.is_some_and(|answered| now.saturating_duration_since(answered) < SILENCE)
+        self.answered_at
+            .is_some_and(|answered| now.saturating_duration_since(answered) < UNREACHABLE_AFTER)
     }
 
-    /// Whether anything was answered after `sent`. Then a call from that time without an answer is slow, and would be so
-    /// for other processes as well.
+    /// Returns whether the store has responded to any call after `sent`. If so, a call sent at that
+    /// time and still without a response is slow, and would be as slow from other processes.
     ///
     /// ```
     /// use std::time::Duration;
@@ -87,7 +91,7 @@
         self.answered_at.is_some_and(|answered| answered > sent)
     }
 
-    /// Whether this process may pass on calls of others.
+    /// Returns whether this process may relay calls of other processes to the store.
     ///
     /// ```
     /// use std::time::Instant;
@@ -101,9 +105,9 @@
     /// assert!(!health.may_relay(now));
     /// ```
     pub fn may_relay(&self, now: Instant) -> bool {
-        let is_refused = self
+        let is_paused = self
             .refused_at
-            .is_some_and(|refused| now.saturating_duration_since(refused) < REFUSAL_MEMORY);
-        self.is_reachable(now) && !is_refused
+            .is_some_and(|refused| now.saturating_duration_since(refused) < RELAY_PAUSE);
+        self.is_reachable(now) && !is_paused
     }
 }
--- a/src/connection/worker_row.rs
+++ b/src/connection/worker_row.rs
@@ -1,4 +1,4 @@
-//! The row of a worker: who holds its lease, what is committed on it and which tasks it shall run.
+//! The store row of a worker: the holder of its lease and the tasks that are committed to it.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 /// Prefix of the keys of worker rows.
 pub const WORKER_PREFIX: &str = "worker/";
 
-/// Key of a worker's row.
+/// Returns the key of the row of a worker.
 ///
 /// ```
 /// assert_eq!(greengagearch::connection::worker_row::worker_key("w1"), "worker/w1");
@@ -27,7 +27,8 @@
     format!("{WORKER_PREFIX}{worker}")
 }
 
-/// Key of the row by which one run of a worker's agent hands its journal to the next.
+/// Returns the key of the row in which an agent process leaves its request journal for the next
+/// agent process of the same worker.
 ///
 /// ```
 /// assert_eq!(greengagearch::connection::worker_row::journal_key("w1"), "journal/w1");
@@ -36,50 +37,52 @@
     format!("journal/{worker}")
 }
 
-/// A task that is committed on a worker.
+/// A task that is committed to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedTask {
-    /// The attempt.
+    /// Number of the attempt at running the task.
     pub attempt: AttemptNumber,
-    /// What is committed to it.
+    /// Resources that are committed to it.
     pub resources: ResourceAmount,
-    /// The team on whose quota it runs.
+    /// The team whose quota it counts against.
     pub team: TeamName,
-    /// Kind of the task.
+    /// Kind of the task, by which its interference with services is estimated.
     pub kind: KindName,
-    /// Whether it goes before the team's other work.
+    /// Whether it has priority over the other tasks of its team.
     pub urgent: bool,
-    /// Whether it shall be checkpointed and stopped.
+    /// Whether the agent has to checkpoint and stop it.
     pub stop: bool,
 }
 
 /// The row of a worker.
 ///
-/// The sums are not stored but follow from the committed tasks, so they cannot disagree.
+/// Totals such as the committed resources are computed from the tasks rather than stored, so they
+/// cannot contradict them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRow {
     /// The worker's name.
     pub worker: WorkerId,
-    /// Where it stands.
+    /// Failure domain of the worker.
     pub domain: DomainName,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: String,
     /// Address of the agent that holds the lease.
     pub address: String,
-    /// Incarnation of the holder; zero when the lease was taken from a lost worker.
+    /// Incarnation of the agent that holds the lease; zero after an entry took the lease from a
+    /// lost worker.
     pub holder: IncarnationId,
     /// Epoch of the lease.
     pub epoch: LeaseEpoch,
-    /// Whether the last holder had stopped acting when it gave the lease back.
+    /// Whether the last holder released the lease after it had stopped acting.
     pub released: bool,
-    /// What the host has.
+    /// Total resources of the host.
     pub capacity: ResourceAmount,
-    /// Tasks that are committed on it, by `job/task`.
+    /// Tasks that are committed to it, by their name `job/task`.
     pub tasks: BTreeMap<String, CommittedTask>,
 }
 
 impl WorkerRow {
-    /// Sum of all committed resources.
+    /// Returns the sum of the committed resources.
     ///
     /// ```
     /// use greengagearch::connection::worker_row::WorkerRow;
@@ -91,7 +94,7 @@
         amounts.fold(ResourceAmount::default(), |sum, amount| sum.plus(amount))
     }
 
-    /// What may still be committed.
+    /// Returns the resources that are not committed.
     ///
     /// ```
     /// use greengagearch::connection::worker_row::WorkerRow;
@@ -102,7 +105,7 @@
         self.capacity.minus(&self.committed())
     }
 
-    /// Kinds of the committed tasks, with the number of each.
+    /// Returns the number of committed tasks of each kind.
     ///
     /// ```
     /// use greengagearch::connection::worker_row::WorkerRow;
@@ -117,7 +120,7 @@
         kinds
     }
 
-    /// Whether an attempt is committed here and urgent.
+    /// Returns whether the task of an attempt is committed to this worker and urgent.
     ///
     /// ```
     /// use greengagearch::connection::worker_row::WorkerRow;
@@ -130,7 +133,7 @@
         self.tasks.get(&task_name(&key.job, key.task)).is_some_and(|task| task.urgent)
     }
 
-    /// Whether an attempt is committed here.
+    /// Returns whether this attempt at a task is committed to this worker.
     ///
     /// ```
     /// use greengagearch::connection::worker_row::WorkerRow;
@@ -145,7 +148,7 @@
     }
 }
 
-/// Name of a task within worker rows: `job/task`.
+/// Returns the name of a task in worker rows: `job/task`.
 ///
 /// ```
 /// assert_eq!(greengagearch::connection::worker_row::task_name("night", 3), "night/3");
@@ -154,7 +157,7 @@
     format!("{job}/{task}")
 }
 
-/// The job and task of a name that [`task_name`] made.
+/// Parses a name made by [`task_name`] into its job and its task.
 ///
 /// ```
 /// use greengagearch::connection::worker_row::parse_task_name;
