--- a/src/connection/mod.rs
+++ b/src/connection/mod.rs
@@ -2,7 +2,6 @@
 //! endpoints, and the RPC protocols with their clients.
 
 pub mod announcement;
-pub mod answer_timer;
 pub mod cluster_map;
 pub mod cluster_view;
 pub mod counted_stream;
@@ -12,6 +11,7 @@
 pub mod node_protocol;
 pub mod planner_protocol;
 pub mod protocol;
+pub mod response_timer;
 pub mod retry_pace;
 pub mod rpc_client;
 pub mod store_health;
--- a/src/connection/answer_timer.rs
+++ b/src/connection/response_timer.rs
@@ -23,22 +23,22 @@
 
 /// Adaptive timeout of the calls to one peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AnswerTimer {
+pub struct ResponseTimer {
     mean_seconds: f64,
     deviation_seconds: f64,
 }
 
-impl AnswerTimer {
+impl ResponseTimer {
     /// Returns the timeout for the next call.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::connection::answer_timer::AnswerTimer;
+    /// use greengagearch::connection::response_timer::ResponseTimer;
     ///
-    /// assert_eq!(AnswerTimer::default().limit(), Duration::from_secs(1));
+    /// assert_eq!(ResponseTimer::default().timeout(), Duration::from_secs(1));
     /// ```
-    pub fn limit(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         let expected = self.mean_seconds + DEVIATION_FACTOR * self.deviation_seconds;
         Duration::from_secs_f64(expected).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
@@ -48,15 +48,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::connection::answer_timer::AnswerTimer;
+    /// use greengagearch::connection::response_timer::ResponseTimer;
     ///
-    /// let mut timer = AnswerTimer::default();
+    /// let mut timer = ResponseTimer::default();
     /// for _ in 0..4 {
-    ///     timer.on_time(timer.limit());
+    ///     timer.record(timer.timeout());
     /// }
-    /// assert!(timer.limit() > Duration::from_millis(1_800));
+    /// assert!(timer.timeout() > Duration::from_millis(1_800));
     /// ```
-    pub fn on_time(&mut self, response_time: Duration) {
+    pub fn record(&mut self, response_time: Duration) {
         let error = response_time.as_secs_f64() - self.mean_seconds;
         self.mean_seconds += MEAN_WEIGHT * error;
         self.deviation_seconds += DEVIATION_WEIGHT * (error.abs() - self.deviation_seconds);
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::connection::answer_timer::AnswerTimer;
+use crate::connection::response_timer::ResponseTimer;
 use crate::external::row_store::FeedPage;
 use crate::external::row_store::RangePage;
 use crate::external::row_store::RowError;
@@ -98,7 +98,7 @@
     http: PlatformHttp,
     base: String,
     /// How long answers take to calls that wait for nothing.
-    timer: Mutex<AnswerTimer>,
+    timer: Mutex<ResponseTimer>,
 }
 
 impl StoreClient {
@@ -117,19 +117,19 @@
 
     /// Sends a call that waits for nothing, and learns from the time that its answer takes.
     async fn send_timed(&self, request: RequestBuilder) -> CallResult {
-        let limit = self.timer().limit();
+        let limit = self.timer().timeout();
         let sent = clock::now();
         let result = self.http.send(request, limit).await;
         if matches!(
             &result,
             CallResult::Answer(..) | CallResult::Broken(_) | CallResult::NoAnswer(_)
         ) {
-            self.timer().on_time(clock::elapsed(sent));
+            self.timer().record(clock::elapsed(sent));
         }
         result
     }
 
-    fn timer(&self) -> MutexGuard<'_, AnswerTimer> {
+    fn timer(&self) -> MutexGuard<'_, ResponseTimer> {
         self.timer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
