--- a/src/connection/retry_pace.rs
+++ b/src/connection/retry_pace.rs
@@ -40,9 +40,9 @@
     ///
     /// ```
     /// let mut pace = greengagearch::connection::retry_pace::RetryPace::default();
-    /// pace.on_answer();
+    /// pace.on_response();
     /// ```
-    pub fn on_answer(&mut self) {
+    pub fn on_response(&mut self) {
         self.rate_per_s = (self.rate_per_s + RATE_INCREASE_PER_S).min(MAX_RATE_PER_S);
     }
 
--- a/src/connection/store_health.rs
+++ b/src/connection/store_health.rs
@@ -18,7 +18,7 @@
 /// Health of the store as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreHealth {
-    answered_at: Option<Instant>,
+    responded_at: Option<Instant>,
     refused_at: Option<Instant>,
 }
 
@@ -34,12 +34,12 @@
     /// assert!(StoreHealth::new(now).is_reachable(now));
     /// ```
     pub fn new(now: Instant) -> StoreHealth {
-        StoreHealth { answered_at: Some(now), refused_at: None }
+        StoreHealth { responded_at: Some(now), refused_at: None }
     }
 
     /// Records a response of the store: the call was carried out or its condition did not hold.
-    pub fn on_answer(&mut self, now: Instant) {
-        self.answered_at = Some(now);
+    pub fn on_response(&mut self, now: Instant) {
+        self.responded_at = Some(now);
     }
 
     /// Records that the store refused a call.
@@ -59,16 +59,16 @@
     /// let mut health = StoreHealth::new(now);
     /// health.on_timeout();
     /// assert!(!health.is_reachable(now));
-    /// health.on_answer(now);
+    /// health.on_response(now);
     /// assert!(health.is_reachable(now));
     /// ```
     pub fn on_timeout(&mut self) {
-        self.answered_at = None;
+        self.responded_at = None;
     }
 
     /// Returns whether the store has responded recently.
     pub fn is_reachable(&self, now: Instant) -> bool {
-        self.answered_at
+        self.responded_at
             .is_some_and(|answered| now.saturating_duration_since(answered) < UNREACHABLE_AFTER)
     }
 
@@ -83,12 +83,12 @@
     ///
     /// let sent = Instant::now();
     /// let mut health = StoreHealth::new(sent);
-    /// assert!(!health.has_answered_since(sent));
-    /// health.on_answer(sent + Duration::from_millis(400));
-    /// assert!(health.has_answered_since(sent));
+    /// assert!(!health.has_responded_since(sent));
+    /// health.on_response(sent + Duration::from_millis(400));
+    /// assert!(health.has_responded_since(sent));
     /// ```
-    pub fn has_answered_since(&self, sent: Instant) -> bool {
-        self.answered_at.is_some_and(|answered| answered > sent)
+    pub fn has_responded_since(&self, sent: Instant) -> bool {
+        self.responded_at.is_some_and(|answered| answered > sent)
     }
 
     /// Returns whether this process may relay calls of other processes to the store.
--- a/src/external/observed_store.rs
+++ b/src/external/observed_store.rs
@@ -42,7 +42,7 @@
             Err(RowError::Refused { .. }) => self.health().on_refusal(now),
             // Whether the store has done it is open; silence shows by the time without answers.
             Err(RowError::Ambiguous { .. }) => {}
-            Ok(_) | Err(_) => self.health().on_answer(now),
+            Ok(_) | Err(_) => self.health().on_response(now),
         }
         result
     }
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -118,7 +118,7 @@
             };
         }
         let mut failure = silent_here();
-        if !self.shared.store.health().has_answered_since(sent) {
+        if !self.shared.store.health().has_responded_since(sent) {
             self.shared.store.health().on_timeout();
             failure = match self.relayed(failure, relay, deadline).await {
                 Err(error) if is_worth_a_relay(&error) => error,
--- a/tests/retry_pace.rs
+++ b/tests/retry_pace.rs
@@ -69,7 +69,7 @@
     let mut paces = [RetryPace::default(); HOSTS];
     let paced = play(|host, is_answered, now, draw| {
         if is_answered {
-            paces[host].on_answer();
+            paces[host].on_response();
             return Duration::ZERO;
         }
         paces[host].on_failure(now, draw)
