--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -207,9 +207,9 @@
     /// ```
     /// use greengagearch::connection::node_protocol::RunnerSnapshot;
     ///
-    /// assert!(!RunnerSnapshot::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
+    /// assert!(!RunnerSnapshot::default().lists(&("a.0.0.0".parse().unwrap(), 1)));
     /// ```
-    pub fn shows(&self, key: &RunKey) -> bool {
+    pub fn lists(&self, key: &RunKey) -> bool {
         let is_started = |run: &PresentRun| run.is_started && run.task == key.0 && run.run == key.1;
         let is_end = |ended: &EndedRun| ended.task == key.0 && ended.run == key.1;
         self.present.iter().any(is_started) || self.ended.iter().any(is_end)
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -50,7 +50,7 @@
 /// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
 fn rejections_shown(look: &RunnerSnapshot) -> Vec<bool> {
     let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
-    runs.map(|key| look.shows(&key)).collect()
+    runs.map(|key| look.lists(&key)).collect()
 }
 
 /// Updates a worker's runs from a snapshot. Returns the runs that the snapshot does not show
@@ -150,7 +150,7 @@
     /// Runs assigned to an instance that a snapshot shows.
     fn runs_shown(&self, life: &str, look: &RunnerSnapshot) -> Vec<RunKey> {
         let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
-        runs.filter(|key| look.shows(key)).cloned().collect()
+        runs.filter(|key| look.lists(key)).cloned().collect()
     }
 
     fn adopt_run(&mut self, key: &RunKey, former: &str, instance: &str) {
--- a/tests/repeated_refusals.rs
+++ b/tests/repeated_refusals.rs
@@ -88,7 +88,7 @@
     let target = state.target().unwrap();
     let step = state.next_step(&target, &key(), &ROOM, now);
     let told = state.report(now).snapshot.unwrap();
-    let is_given_up = !told.rejected.is_empty() && !told.shows(&key());
+    let is_given_up = !told.rejected.is_empty() && !told.lists(&key());
     let is_tried = matches!(step, StartStep::Send);
     assert!(!(is_given_up && is_tried), "told as {:?}, and {step:?}", told.rejected);
 }
