--- a/src/connection/grant_arbiter.rs
+++ b/src/connection/grant_arbiter.rs
@@ -18,6 +18,7 @@
 pub struct GrantArbiter {
     generation: u64,
     change_pending: bool,
+    /// Epoch of the newest takeover that this entry has started, by lease.
     superseded: BTreeMap<String, LeaseEpoch>,
 }
 
--- a/src/connection/lease.rs
+++ b/src/connection/lease.rs
@@ -100,6 +100,7 @@
     last_read: Option<Instant>,
     /// Expiry of the latest grant of each member.
     grants: BTreeMap<IncarnationId, Instant>,
+    /// Set for good once a read has returned another epoch.
     lost: bool,
 }
 
