--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -306,7 +306,7 @@
         Some(if entry.progress.begun { JobStatus::Running } else { JobStatus::Queued })
     }
 
-    /// Returns the ended jobs whose status has been kept longer than `kept_for`, with the versions
+    /// Returns the ended jobs whose status has been kept longer than `retention`, with the versions
     /// of their rows.
     ///
     /// ```
