--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -141,8 +141,8 @@
 pub fn choose(request: &PlacementRequest<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.inventory.iter() {
-        let room = worker.available_to(request.task, view.now);
-        let has_capacity = room.contains(&request.step.counted_room());
+        let available = worker.available_to(request.task, view.now);
+        let has_capacity = available.contains(&request.step.counted_room());
         if !has_capacity || !is_eligible(request, view, instance, worker) {
             continue;
         }
@@ -252,17 +252,17 @@
     view: &PlacementView<'_>,
     worker: &WorkerEntry,
 ) -> Option<f64> {
-    let room = worker.best_effort_capacity();
+    let available = worker.best_effort_capacity();
     let requested = request.step.room.millicores as f64;
     let demand = worker.best_effort_demand() + worker.holds.filling(request.task, view.now);
-    let is_alone = demand == 0.0 && room > 0.0;
-    if room - demand < requested * MIN_BEST_EFFORT_SHARE
+    let is_alone = demand == 0.0 && available > 0.0;
+    if available - demand < requested * MIN_BEST_EFFORT_SHARE
         && !is_alone
         && request.risk != RiskLimit::Any
     {
         return None;
     }
-    let load = (demand + requested) / room.max(1.0);
+    let load = (demand + requested) / available.max(1.0);
     if !worker.is_serving() {
         return Some(load);
     }
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -164,7 +164,7 @@
         /// Worker that crashed last.
         worker: InstanceId,
     },
-    /// All runs of a runner instance are given up.
+    /// A runner instance is lost, together with all its runs.
     WorkerLost {
         /// Lost instance.
         worker: InstanceId,
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -1,10 +1,11 @@
 //! State of the planner, which tracks all jobs and workers and decides which tasks start and stop
 //! where.
 //!
-//! Events arrive through the `on_*` methods, and [`Planner::plan`] assigns tasks to workers. Rows
-//! to be stored are taken with [`Planner::take_batch`]; the start orders of a batch are released
-//! only by [`Planner::on_committed`]. The store therefore knows each run before it starts, and a
-//! worker may discard the end of a run only after the store holds it.
+//! Serving tasks have a tail-latency target; best-effort tasks use the processor time that other
+//! tasks leave free. Events arrive through the `on_*` methods, and [`Planner::plan`] assigns tasks
+//! to workers. Rows to be stored are taken with [`Planner::take_batch`]; the start orders of a
+//! batch are released only by [`Planner::on_committed`]. The store therefore knows each run before
+//! it starts, and a worker may discard the end of a run only after the store holds it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -108,7 +109,7 @@
         self.wall_ms = wall_ms;
     }
 
-    /// Records that the leases on a worker were extended and may last until `surely_expired`.
+    /// Records that the leases on a worker were extended and may last until `expired_by`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -116,9 +117,9 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// planner.on_grant("i-1", Instant::now());
     /// ```
-    pub fn on_grant(&mut self, instance: &str, surely_expired: Instant) {
+    pub fn on_grant(&mut self, instance: &str, expired_by: Instant) {
         let worker = self.inventory.entry(instance, self.inherited_lease_end);
-        worker.lease_end = worker.lease_end.max(surely_expired);
+        worker.lease_end = worker.lease_end.max(expired_by);
     }
 
     /// Opens the occurrences that are due, gives up the runs of silent workers, and moves tasks
@@ -255,9 +256,9 @@
                 ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
             });
         }
-        let seen = released.and_then(|run| run.seen).map(|seen| seen.checkpoint);
-        let known = seen.unwrap_or_default();
-        let checkpoint = if checkpoint.is_empty() { known.as_str() } else { checkpoint };
+        let reported = released.and_then(|run| run.seen).map(|report| report.checkpoint);
+        let last_checkpoint = reported.unwrap_or_default();
+        let checkpoint = if checkpoint.is_empty() { last_checkpoint.as_str() } else { checkpoint };
         let Some(entry) = self.jobs.get_mut(&key.0.job) else {
             return;
         };
--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -254,10 +254,10 @@
             };
             let key = (TaskName { index, ..name.clone() }, attempt.run);
             let worker = self.inventory.get(&attempt.worker);
-            let seen =
+            let reported =
                 worker.and_then(|worker| worker.assigned.get(&key)).filter(|run| !run.stopping);
-            let seen = seen.and_then(|run| run.seen.as_ref());
-            seen.is_some_and(|seen| seen.progress_percent >= WORKING_PERCENT)
+            let reported = reported.and_then(|run| run.seen.as_ref());
+            reported.is_some_and(|reported| reported.progress_percent >= WORKING_PERCENT)
         })
     }
 }
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -23,17 +23,17 @@
     pub(crate) fn on_crash(&mut self, crash: &RunnerCrash) -> Option<TaskName> {
         let worker = self.inventory.get(&crash.instance).filter(|worker| !worker.has_ended)?;
         let is_assigned = |task: &TaskName, run| worker.assigned.contains_key(&(task.clone(), run));
-        let assigned = crash.young.iter().filter(|young| is_assigned(&young.task, young.run));
-        let young = assigned.map(|run| CrashedRun {
+        let assigned = crash.young.iter().filter(|recent| is_assigned(&recent.task, recent.run));
+        let recent = assigned.map(|run| CrashedRun {
             task: run.task.clone(),
             age: run.age,
             lived: run.lived,
             is_certain: run.is_certain,
         });
-        let young: Vec<CrashedRun> = young.collect();
+        let recent: Vec<CrashedRun> = recent.collect();
         let (worker, reported) = (crash.instance.clone(), crash.young.clone());
         self.decisions.push(PlanDecision::WorkerCrashed { worker, young: reported });
-        self.record_crash(&crash.instance, &young)
+        self.record_crash(&crash.instance, &recent)
     }
 
     /// Attributes a loss that no agent explained to the isolated task on the worker, since an agent
@@ -51,15 +51,15 @@
         self.record_crash(instance, &[CrashedRun { task, age, lived, is_certain }])
     }
 
-    fn record_crash(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
-        let verdict = self.task_suspicion.on_crash(life, young, self.now);
+    fn record_crash(&mut self, instance: &str, recent: &[CrashedRun]) -> Option<TaskName> {
+        let verdict = self.task_suspicion.on_crash(instance, recent, self.now);
         for task in verdict.isolated.clone() {
             let crashes = self.task_suspicion.crashes(&task).len();
-            let worker = life.to_string();
+            let worker = instance.to_string();
             self.decisions.push(PlanDecision::TaskIsolated { task, crashes, worker });
         }
-        let young = young.iter().map(|run| &run.task);
-        young.chain(&verdict.explained).for_each(|task| self.store_crashes(task));
+        let recent = recent.iter().map(|run| &run.task);
+        recent.chain(&verdict.explained).for_each(|task| self.store_crashes(task));
         verdict.given_up
     }
 
@@ -137,7 +137,7 @@
     /// Returns the isolated tasks of a job that can start. Gangs are left out, since they start as
     /// a whole with their job.
     fn isolated_tasks(&self, job: &JobId) -> Vec<TaskName> {
-        let mut found = Vec::new();
+        let mut tasks = Vec::new();
         let entry = self.jobs.get(job).filter(|entry| entry.end.is_none());
         for (occurrence, step) in self.ready_steps(job) {
             let spec = entry.and_then(|entry| entry.spec.steps.get(step as usize));
@@ -145,11 +145,11 @@
                 continue;
             };
             for index in self.startable(job, occurrence, step, spec) {
-                found.push(TaskName { job: job.clone(), occurrence, step, index });
+                tasks.push(TaskName { job: job.clone(), occurrence, step, index });
             }
         }
-        found.retain(|name| self.task_suspicion.is_isolated(name));
-        found
+        tasks.retain(|name| self.task_suspicion.is_isolated(name));
+        tasks
     }
 
     fn start_isolated_task(&mut self, name: &TaskName) -> usize {
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -201,9 +201,9 @@
                 self.task_suspicion.adopt(&name, crashes, is_isolated);
             }
         }
-        let unknown = StepSpec::default();
+        let unknown_step = StepSpec::default();
         for (name, attempt) in entry.progress.attempts(job) {
-            let step = entry.step(&name).unwrap_or(&unknown);
+            let step = entry.step(&name).unwrap_or(&unknown_step);
             let key = (name, attempt.run);
             self.inventory.assign(
                 &attempt.worker,
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -54,8 +54,8 @@
     /// ```
     pub fn pending(&self) -> BTreeMap<QueueName, u64> {
         let mut counts = BTreeMap::new();
-        let waiting = self.jobs.values().filter(|job| job.end.is_none() && !job.progress.begun);
-        for job in waiting {
+        let not_started = self.jobs.values().filter(|job| job.end.is_none() && !job.progress.begun);
+        for job in not_started {
             *counts.entry(job.spec.policy.queue.clone()).or_default() += 1;
         }
         counts
@@ -84,11 +84,12 @@
                 load.serving_runs += usize::from(run.target_ms > 0);
                 load.best_effort_runs += usize::from(run.fills);
                 load.throttled_runs += usize::from(run.slow_since.is_some());
-                if let Some(seen) = run.seen.as_ref().filter(|_| run.fills) {
-                    load.best_effort_demand += run.millicores * u64::from(seen.pace_percent) / 100;
-                    load.best_effort_usage += seen.usage;
+                if let Some(report) = run.seen.as_ref().filter(|_| run.fills) {
+                    load.best_effort_demand +=
+                        run.millicores * u64::from(report.pace_percent) / 100;
+                    load.best_effort_usage += report.usage;
                     if late.contains(key.0.job.as_str()) {
-                        load.late_best_effort_usage += seen.usage;
+                        load.late_best_effort_usage += report.usage;
                     }
                 }
                 load.other_runs += usize::from(!run.fills && run.target_ms == 0);
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -40,9 +40,9 @@
     }
 
     /// Moves the first few of the runs for which another worker has capacity.
-    fn move_runs(&mut self, found: Vec<(InstanceId, RunKey)>, why: MoveReason) {
+    fn move_runs(&mut self, runs: Vec<(InstanceId, RunKey)>, why: MoveReason) {
         let mut moves = 0;
-        for (instance, key) in found {
+        for (instance, key) in runs {
             if moves == MAX_MOVES_PER_TICK {
                 break;
             }
@@ -70,25 +70,25 @@
     }
 
     fn leaving_runs(&self) -> Vec<(InstanceId, RunKey)> {
-        let mut found = Vec::new();
+        let mut runs = Vec::new();
         for (instance, worker) in self.inventory.iter() {
             if !worker.status.as_ref().is_some_and(|status| status.draining) {
                 continue;
             }
             for (key, run) in &worker.assigned {
-                let progress = run.seen.as_ref().map_or(0, |seen| seen.progress_percent);
+                let progress = run.seen.as_ref().map_or(0, |report| report.progress_percent);
                 let can_continue =
                     run.long_running || run.checkpoints && progress < NEARLY_DONE_PERCENT;
                 if can_continue && !run.stopping {
-                    found.push((instance.clone(), key.clone()));
+                    runs.push((instance.clone(), key.clone()));
                 }
             }
         }
-        found
+        runs
     }
 
     fn throttled_runs(&self) -> Vec<(InstanceId, RunKey)> {
-        let mut found = Vec::new();
+        let mut runs = Vec::new();
         for (instance, worker) in self.inventory.iter() {
             for (key, run) in &worker.assigned {
                 let throttled_for =
@@ -99,11 +99,11 @@
                     && is_cheap
                     && !run.stopping
                 {
-                    found.push((instance.clone(), key.clone()));
+                    runs.push((instance.clone(), key.clone()));
                 }
             }
         }
-        found
+        runs
     }
 
     /// Returns a worker that can run the task without risk to the serving tasks there.
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -35,22 +35,22 @@
 
 /// Returns whether the traits of a run differ enough from those sent before to be sent again.
 fn has_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
-    let Some(told) = &run.told else {
+    let Some(sent) = &run.told else {
         return true;
     };
-    let known = |serving: &str| told.effects.iter().find(|effect| effect.serving == serving);
+    let sent_effect = |serving: &str| sent.effects.iter().find(|effect| effect.serving == serving);
     let is_different = |effect: &ImageEffect| {
-        known(&effect.serving).is_none_or(|old| {
+        sent_effect(&effect.serving).is_none_or(|old| {
             old.added_permille.abs_diff(effect.added_permille) >= MIN_SENT_CHANGE_PERMILLE
         })
     };
-    told.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_different)
+    sent.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_different)
 }
 
 /// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
-fn rejections_shown(look: &RunnerLook) -> Vec<bool> {
-    let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
-    runs.map(|key| look.shows(&key)).collect()
+fn rejections_shown(snapshot: &RunnerLook) -> Vec<bool> {
+    let runs = snapshot.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
+    runs.map(|key| snapshot.shows(&key)).collect()
 }
 
 /// Updates a worker's runs from a snapshot. Returns the runs that the snapshot does not show
@@ -66,7 +66,7 @@
     let mut changed = false;
     for (key, run) in &mut worker.assigned {
         match present.remove(key) {
-            Some(seen) => changed |= run.on_seen(seen, now) && run.fills,
+            Some(report) => changed |= run.on_seen(report, now) && run.fills,
             None if run.order.is_some_and(|order| order <= orders_seen || resync) => {
                 absent.push(key.clone());
             }
@@ -103,28 +103,28 @@
     /// ```
     pub fn on_report(&mut self, report: NodeReport, is_new_link: bool) {
         if let Some(status) = &report.runner {
-            let has_former = !report.former.is_empty();
-            self.record_status(status, has_former, is_new_link);
+            let has_previous = !report.former.is_empty();
+            self.record_status(status, has_previous, is_new_link);
             self.adopt_runs(&report, &status.instance);
         }
         let mut given_up = Vec::new();
         for crash in &report.crashes {
             given_up.extend(self.on_crash(crash).map(|task| (task, crash.instance.as_str())));
         }
-        for former in &report.former {
-            self.give_up_settled_runs(former, &report.unsettled);
+        for previous in &report.former {
+            self.give_up_settled_runs(previous, &report.unsettled);
         }
         for (task, worker) in given_up {
             self.give_up_task(task, worker);
         }
-        if let (Some(status), Some(look)) = (report.runner, report.look) {
-            self.on_snapshot(&status.instance, look);
+        if let (Some(status), Some(snapshot)) = (report.runner, report.look) {
+            self.on_snapshot(&status.instance, snapshot);
         }
     }
 
-    fn record_status(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
+    fn record_status(&mut self, status: &RunnerStatus, has_previous: bool, is_new_link: bool) {
         let worker = self.inventory.entry(&status.instance, self.inherited_lease_end);
-        if has_former && worker.status.is_none() {
+        if has_previous && worker.status.is_none() {
             // Calls meant for a previous instance may have extended a lease of the new one
             // unnoticed.
             worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
@@ -137,30 +137,31 @@
     /// Transfers runs assigned to previous instances that the current instance shows as its own,
     /// since it has carried out their start orders.
     fn adopt_runs(&mut self, report: &NodeReport, instance: &str) {
-        let Some(look) = &report.look else {
+        let Some(snapshot) = &report.look else {
             return;
         };
-        for former in &report.former {
-            for key in self.runs_shown(former, look) {
-                self.adopt_run(&key, former, instance);
+        for previous in &report.former {
+            for key in self.runs_shown(previous, snapshot) {
+                self.adopt_run(&key, previous, instance);
             }
         }
     }
 
     /// Runs assigned to an instance that a snapshot shows.
-    fn runs_shown(&self, life: &str, look: &RunnerLook) -> Vec<RunKey> {
-        let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
-        runs.filter(|key| look.shows(key)).cloned().collect()
+    fn runs_shown(&self, previous: &str, snapshot: &RunnerLook) -> Vec<RunKey> {
+        let runs =
+            self.inventory.get(previous).into_iter().flat_map(|worker| worker.assigned.keys());
+        runs.filter(|key| snapshot.shows(key)).cloned().collect()
     }
 
-    fn adopt_run(&mut self, key: &RunKey, former: &str, instance: &str) {
+    fn adopt_run(&mut self, key: &RunKey, previous: &str, instance: &str) {
         self.decisions.push(PlanDecision::RunAdopted {
             task: key.0.clone(),
             run: key.1,
-            from: former.to_string(),
+            from: previous.to_string(),
             worker: instance.to_string(),
         });
-        let was_stopping = self.inventory.transfer(former, instance, key);
+        let was_stopping = self.inventory.transfer(previous, instance, key);
         self.record_instance(key, instance);
         if was_stopping {
             self.stop_run(instance, key.clone());
@@ -181,25 +182,25 @@
         }
     }
 
-    fn on_snapshot(&mut self, instance: &str, look: RunnerLook) {
-        let shown = rejections_shown(&look);
-        self.on_ends(instance, look.ended);
-        for (rejected, shown) in look.rejected.iter().zip(shown) {
+    fn on_snapshot(&mut self, instance: &str, snapshot: RunnerLook) {
+        let shown = rejections_shown(&snapshot);
+        self.on_ends(instance, snapshot.ended);
+        for (rejected, shown) in snapshot.rejected.iter().zip(shown) {
             self.on_rejected(instance, rejected, shown);
         }
-        let present = look.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
+        let present = snapshot.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
         let present: BTreeMap<RunKey, PresentRun> = present.collect();
         self.stop_unknown_runs(instance, &present);
         let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let resync = std::mem::take(&mut worker.resync);
-        let absent = update_runs(worker, present, look.orders_seen, resync, self.now);
+        let absent = update_runs(worker, present, snapshot.orders_seen, resync, self.now);
         self.disturbance.learn(worker, self.now);
-        let works = worker.assigned.iter().filter(|(_, run)| !run.long_running);
-        let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
-        let works: Vec<(TaskName, RunWork)> = works.collect();
-        self.learn_durations(&works);
+        let progressed = worker.assigned.iter().filter(|(_, run)| !run.long_running);
+        let progressed = progressed.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
+        let progressed: Vec<(TaskName, RunWork)> = progressed.collect();
+        self.learn_durations(&progressed);
         self.send_changed_traits(instance);
         self.clear_surviving_tasks(instance);
         for key in absent {
@@ -224,8 +225,8 @@
         }
     }
 
-    fn learn_durations(&mut self, works: &[(TaskName, RunWork)]) {
-        for (name, work) in works {
+    fn learn_durations(&mut self, progressed: &[(TaskName, RunWork)]) {
+        for (name, work) in progressed {
             if let Some(entry) = self.jobs.get_mut(&name.job) {
                 let span = (f64::from(work.from_percent), f64::from(work.to_percent));
                 entry.forecast.on_progress(name.into(), span, work.full_ms);
@@ -328,9 +329,9 @@
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
+        let reported = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
         let traits: Vec<(RunKey, TaskTraits)> =
-            known.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
+            reported.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
         let stopping: Vec<RunKey> = worker
             .assigned
             .iter()
@@ -352,8 +353,8 @@
         if worker.traits_sent_at.is_some_and(is_recent) {
             return;
         }
-        let known = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
-        let relevant = known.filter(|(_, run)| run.fills || run.target_ms > 0);
+        let reported = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
+        let relevant = reported.filter(|(_, run)| run.fills || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in relevant {
             if let Some(traits) = self.traits(&key.0).filter(|new| has_changed(run, new)) {
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -197,8 +197,8 @@
     /// starts on one rack if a rack has capacity for it, else on several.
     fn start_gang(&mut self, names: &[TaskName], spec: &StepSpec) -> usize {
         let racks: BTreeSet<String> = if spec.colocated {
-            let known = self.inventory.iter().filter_map(|(_, worker)| worker.status.as_ref());
-            known.map(|status| status.rack().to_string()).collect()
+            let statuses = self.inventory.iter().filter_map(|(_, worker)| worker.status.as_ref());
+            statuses.map(|status| status.rack().to_string()).collect()
         } else {
             BTreeSet::new()
         };
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -121,8 +121,8 @@
 /// Allocatable capacity of a worker that long-running tasks leave free.
 pub(crate) fn long_term_free(worker: &WorkerEntry) -> RoomAmount {
     let capacity = worker.status.as_ref().map(|status| status.capacity).unwrap_or_default();
-    let lasting = worker.assigned.values().filter(|run| run.long_running);
-    lasting.fold(capacity, |room, run| room.minus(&run.counted))
+    let long_running = worker.assigned.values().filter(|run| run.long_running);
+    long_running.fold(capacity, |free, run| free.minus(&run.counted))
 }
 
 fn best_effort_beside(jobs: usize) -> f64 {
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -157,12 +157,12 @@
     /// assert_eq!(inventory.entry("i-1", Instant::now()).best_effort_demand(), 0.0);
     /// ```
     pub fn best_effort_demand(&self) -> f64 {
-        let fills = self.assigned.values().filter(|run| run.fills);
+        let best_effort = self.assigned.values().filter(|run| run.fills);
         let share = |run: &AssignedRun| {
-            let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
+            let pace = run.seen.as_ref().map_or(100, |report| report.pace_percent);
             f64::from(pace) / 100.0
         };
-        fills.map(|run| run.millicores as f64 * share(run).max(MIN_ASSUMED_PACE)).sum()
+        best_effort.map(|run| run.millicores as f64 * share(run).max(MIN_ASSUMED_PACE)).sum()
     }
 
     /// Returns whether its best-effort tasks are throttled so much that another one would only take
@@ -177,7 +177,7 @@
     pub fn is_saturated(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
         for run in self.assigned.values().filter(|run| run.fills) {
-            let pace = run.seen.as_ref().map_or(100, |seen| seen.pace_percent);
+            let pace = run.seen.as_ref().map_or(100, |report| report.pace_percent);
             wanted += run.millicores as f64;
             working += run.millicores as f64 * f64::from(pace) / 100.0;
         }
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -150,7 +150,7 @@
                 image: run.image.clone(),
                 begin,
                 end: now,
-                percent: run.seen.as_ref().map_or(0, |seen| seen.pace_percent),
+                percent: run.seen.as_ref().map_or(0, |report| report.pace_percent),
             }));
         }
         worker.used = worker.used.minus(&run.counted);
