--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -14,17 +14,17 @@
 use greengagearch::process::interference::InterferenceModel;
 use greengagearch::process::interference::InterferenceSample;
 use greengagearch::request::deadline_queue::QueuedRequest;
-use greengagearch::request::pool_endpoint::AgentPlace;
+use greengagearch::request::placement_policy::PlacementPolicyKind;
+use greengagearch::request::placement_policy::WorkerView;
+use greengagearch::request::pool_endpoint::AgentLocation;
 use greengagearch::request::pool_endpoint::EndpointReport;
 use greengagearch::request::pool_endpoint::SlotResult;
-use greengagearch::request::routing::RoutingWay;
+use greengagearch::request::routing::RoutingPolicy;
 use greengagearch::request::service_pool::ServicePool;
 use greengagearch::request::service_pool::SlotDecision;
 use greengagearch::request::task_plan::QueuedTask;
-use greengagearch::request::task_plan::TeamShare;
+use greengagearch::request::task_plan::TeamUsage;
 use greengagearch::request::task_plan::plan_starts;
-use greengagearch::request::worker_choice::PlacementWay;
-use greengagearch::request::worker_choice::WorkerView;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -60,7 +60,7 @@
             (0..3).map(|one| format!("service-{}", (number + one) % SERVICES)).collect();
         for task in 0..23 {
             let amount = ResourceAmount { millicores: 1_000, memory_mib: 2_000, accelerators: 0 };
-            view.take(&amount, &format!("kind-{}", (number + task) % KINDS));
+            view.commit(&amount, &format!("kind-{}", (number + task) % KINDS));
         }
         view
     });
@@ -80,17 +80,17 @@
     tasks.collect()
 }
 
-fn teams() -> BTreeMap<String, TeamShare> {
+fn teams() -> BTreeMap<String, TeamUsage> {
     let quota =
         ResourceAmount { millicores: 10_000_000, memory_mib: 100_000_000, accelerators: 100 };
-    let share = TeamShare { quota, used: ResourceAmount::default() };
+    let share = TeamUsage { quota, used: ResourceAmount::default() };
     (0..48).map(|team| (format!("team-{team}"), share)).collect()
 }
 
 fn bench_plan(criterion: &mut Criterion) {
     let model = model();
     let mut group = criterion.benchmark_group("plan_18_starts_of_200_queued");
-    for way in [PlacementWay::LeastLoaded, PlacementWay::Pairwise] {
+    for way in [PlacementPolicyKind::LeastLoaded, PlacementPolicyKind::Pairwise] {
         let policy = way.policy(model.clone());
         for count in WORKERS {
             let name = BenchmarkId::new(format!("{way:?}"), count);
@@ -115,9 +115,9 @@
     let mut group = criterion.benchmark_group("route_and_release");
     for count in [11, 100] {
         let now = Instant::now();
-        let mut pool = ServicePool::new(RoutingWay::LocalFirst, "a".to_string(), 0.1);
+        let mut pool = ServicePool::new(RoutingPolicy::LocalFirst, "a".to_string(), 0.1);
         for number in 0..count {
-            let place = AgentPlace {
+            let place = AgentLocation {
                 worker: format!("w{number}"),
                 incarnation: 1,
                 domain: ["a", "b", "c"][number % 3].to_string(),
--- a/src/process/entry/ledger_desk.rs
+++ b/src/process/entry/ledger_desk.rs
@@ -11,7 +11,7 @@
 use crate::ids::BodyDigest;
 use crate::ids::RequestId;
 use crate::request::outcome::RequestOutcome;
-use crate::request::request_ledger::LedgerVerdict;
+use crate::request::request_ledger::LedgerDecision;
 use crate::request::request_ledger::RequestLedger;
 
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
 }
 
 impl LedgerDesk {
-    /// Looks an id up; it is kept until the wall-clock time `forget_at` at least.
+    /// Looks an id up; it is kept until the wall-clock time `expires_at` at least.
     ///
     /// ```
     /// use std::time::Duration;
@@ -51,13 +51,13 @@
     /// let verdict = LedgerDesk::default().begin(uuid::Uuid::now_v7(), 1, Duration::MAX);
     /// assert!(matches!(verdict, DeskVerdict::Run));
     /// ```
-    pub fn begin(&self, id: RequestId, digest: BodyDigest, forget_at: Duration) -> DeskVerdict {
+    pub fn begin(&self, id: RequestId, digest: BodyDigest, expires_at: Duration) -> DeskVerdict {
         let mut state = self.lock();
-        match state.ledger.begin(id, digest, forget_at) {
-            LedgerVerdict::Run => DeskVerdict::Run,
-            LedgerVerdict::Ended(outcome) => DeskVerdict::Ended(outcome),
-            LedgerVerdict::Conflict => DeskVerdict::Conflict,
-            LedgerVerdict::Wait => {
+        match state.ledger.begin(id, digest, expires_at) {
+            LedgerDecision::Run => DeskVerdict::Run,
+            LedgerDecision::Ended(outcome) => DeskVerdict::Ended(outcome),
+            LedgerDecision::Conflict => DeskVerdict::Conflict,
+            LedgerDecision::Wait => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.entry(id).or_default().push(sender);
                 DeskVerdict::Wait(receiver)
@@ -91,11 +91,11 @@
     ///
     /// use greengagearch::process::entry::ledger_desk::LedgerDesk;
     ///
-    /// assert_eq!(LedgerDesk::default().forget_old(Duration::ZERO), 0);
+    /// assert_eq!(LedgerDesk::default().remove_expired(Duration::ZERO), 0);
     /// ```
-    pub fn forget_old(&self, now: Duration) -> usize {
+    pub fn remove_expired(&self, now: Duration) -> usize {
         let mut state = self.lock();
-        state.ledger.forget_old(now);
+        state.ledger.remove_expired(now);
         state.ledger.len()
     }
 
--- a/src/process/entry/pool_set.rs
+++ b/src/process/entry/pool_set.rs
@@ -18,7 +18,7 @@
 use crate::process::entry::shared::EntryShared;
 use crate::request::deadline_queue::QueuedRequest;
 use crate::request::deadline_queue::TicketNumber;
-use crate::request::pool_endpoint::AgentPlace;
+use crate::request::pool_endpoint::AgentLocation;
 use crate::request::pool_endpoint::EndpointKey;
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::EndpointReport;
@@ -124,11 +124,11 @@
     /// Takes one retry out of the service's budget, if there is one left.
     pub fn try_retry(&self, service: &str) -> bool {
         let mut state = self.lock();
-        state.pools.get_mut(service).is_some_and(|pool| pool.budget.try_take())
+        state.pools.get_mut(service).is_some_and(|pool| pool.retry_budget.try_take())
     }
 
     /// Takes in an agent's report of its endpoints.
-    pub fn on_report(&self, place: &AgentPlace, reports: &[EndpointReport]) {
+    pub fn on_report(&self, place: &AgentLocation, reports: &[EndpointReport]) {
         let now = clock::now();
         let mut state = self.lock();
         for report in reports {
@@ -154,9 +154,9 @@
     }
 
     /// Drops the endpoints of a worker whose agent is silent.
-    pub fn forget_worker(&self, worker: &str) {
+    pub fn remove_worker(&self, worker: &str) {
         for pool in self.lock().pools.values_mut() {
-            pool.forget_worker(worker);
+            pool.remove_worker(worker);
         }
     }
 
@@ -189,7 +189,7 @@
         let pool = state.pools.entry(document.name.clone()).or_insert_with(|| self.new_pool());
         pool.set_rules(document.requests.routing, document.requests.retry_share);
         if avoid.is_none() {
-            pool.budget.on_request();
+            pool.retry_budget.on_request();
         }
         let request = QueuedRequest { ticket, deadline, caller: caller.to_string(), avoid };
         let (decision, displaced) = pool.request_slot(request, clock::now(), &mut rand::rng());
@@ -225,7 +225,7 @@
             if now >= next_upkeep {
                 next_upkeep = now + UPKEEP_INTERVAL;
                 forget_silent_agents(&shared);
-                shared.forget_old();
+                shared.remove_expired();
             }
         }
     });
@@ -241,6 +241,6 @@
         silent.map(|agent| agent.place.worker.clone()).collect()
     };
     for worker in silent {
-        shared.pools.forget_worker(&worker);
+        shared.pools.remove_worker(&worker);
     }
 }
--- a/src/process/planning/rows.rs
+++ b/src/process/planning/rows.rs
@@ -79,9 +79,10 @@
 
 /// Which lives the runner on a host had.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeRow {
+pub struct RunnerInstancesRow {
     /// The lives, the newest last.
-    pub lives: Vec<InstanceId>,
+    #[serde(rename = "lives")]
+    pub instances: Vec<InstanceId>,
 }
 
 /// In how many partitions the jobs' rows are. The store carries out the transactions of one partition one after another, so that
@@ -116,7 +117,7 @@
     }
 
     /// All partitions that have rows of jobs.
-    pub fn names(self) -> Vec<String> {
+    pub fn partition_names(self) -> Vec<String> {
         if self.partitions <= 1 {
             return vec![PARTITION.to_string()];
         }
--- a/src/request/worker_choice.rs
+++ b/src/request/placement_policy.rs
@@ -25,7 +25,7 @@
 
 /// A way of choosing among the workers that have room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlacementWay {
+pub enum PlacementPolicyKind {
     /// Any of them.
     Random,
     /// The first by name.
@@ -40,38 +40,38 @@
 /// The text named no placement way.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("allowed are random, first-fit, least-loaded and pairwise"))]
-pub struct UnknownPlacement;
+pub struct UnknownPlacementPolicy;
 
-impl FromStr for PlacementWay {
-    type Err = UnknownPlacement;
+impl FromStr for PlacementPolicyKind {
+    type Err = UnknownPlacementPolicy;
 
-    fn from_str(text: &str) -> Result<PlacementWay, UnknownPlacement> {
+    fn from_str(text: &str) -> Result<PlacementPolicyKind, UnknownPlacementPolicy> {
         match text {
-            "random" => Ok(PlacementWay::Random),
-            "first-fit" => Ok(PlacementWay::FirstFit),
-            "least-loaded" => Ok(PlacementWay::LeastLoaded),
-            "pairwise" => Ok(PlacementWay::Pairwise),
-            _ => Err(UnknownPlacement),
+            "random" => Ok(PlacementPolicyKind::Random),
+            "first-fit" => Ok(PlacementPolicyKind::FirstFit),
+            "least-loaded" => Ok(PlacementPolicyKind::LeastLoaded),
+            "pairwise" => Ok(PlacementPolicyKind::Pairwise),
+            _ => Err(UnknownPlacementPolicy),
         }
     }
 }
 
-impl PlacementWay {
+impl PlacementPolicyKind {
     /// The policy of this way.
     ///
     /// ```
     /// use std::sync::Arc;
     ///
-    /// use greengagearch::request::worker_choice::PlacementWay;
+    /// use greengagearch::request::placement_policy::PlacementPolicyKind;
     ///
-    /// let policy = PlacementWay::Random.policy(Arc::default());
+    /// let policy = PlacementPolicyKind::Random.policy(Arc::default());
     /// ```
     pub fn policy(self, model: Arc<InterferenceModel>) -> Box<dyn PlacementPolicy> {
         match self {
-            PlacementWay::Random => Box::new(RandomPlacement),
-            PlacementWay::FirstFit => Box::new(FirstFit),
-            PlacementWay::LeastLoaded => Box::new(LeastLoaded),
-            PlacementWay::Pairwise => Box::new(PairwisePlacement { model }),
+            PlacementPolicyKind::Random => Box::new(RandomPlacement),
+            PlacementPolicyKind::FirstFit => Box::new(FirstFit),
+            PlacementPolicyKind::LeastLoaded => Box::new(LeastLoaded),
+            PlacementPolicyKind::Pairwise => Box::new(PairwisePlacement { model }),
         }
     }
 }
@@ -102,7 +102,7 @@
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let view = WorkerView::empty("w1", host);
@@ -115,7 +115,7 @@
     /// A worker on which nothing runs.
     ///
     /// ```
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// assert_eq!(WorkerView::empty("w1", Default::default()).worker, "w1");
     /// ```
@@ -137,7 +137,7 @@
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
-    /// use greengagearch::request::worker_choice::WorkerView;
+    /// use greengagearch::request::placement_policy::WorkerView;
     ///
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let mut view = WorkerView::empty("w1", host);
@@ -152,13 +152,13 @@
     ///
     /// ```
     /// # use greengagearch::external::worker::ResourceAmount;
-    /// # use greengagearch::request::worker_choice::WorkerView;
+    /// # use greengagearch::request::placement_policy::WorkerView;
     /// let host = ResourceAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 };
     /// let mut view = WorkerView::empty("w1", host);
-    /// view.take(&host, "roster");
+    /// view.commit(&host, "roster");
     /// assert_eq!(view.free.millicores, 0);
     /// ```
-    pub fn take(&mut self, amount: &ResourceAmount, kind: &str) {
+    pub fn commit(&mut self, amount: &ResourceAmount, kind: &str) {
         self.free = self.free.minus(amount);
         self.starts_left = self.starts_left.map(|left| left.saturating_sub(1));
         *self.kinds.entry(kind.to_string()).or_default() += 1;
@@ -169,7 +169,7 @@
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
-/// use greengagearch::request::worker_choice::dominant_share;
+/// use greengagearch::request::placement_policy::dominant_share;
 ///
 /// let whole = ResourceAmount { millicores: 4, memory_mib: 8, accelerators: 0 };
 /// let amount = ResourceAmount { millicores: 1, memory_mib: 4, accelerators: 0 };
@@ -187,18 +187,19 @@
 }
 
 /// A worker that has room, with its position among all.
-pub type RoomyWorker<'a> = (usize, &'a WorkerView);
+pub type CandidateWorker<'a> = (usize, &'a WorkerView);
 
 /// Chooses one of the workers that have room for a task of a kind; gives its position.
 pub trait PlacementPolicy: Send + Sync {
     /// Chooses; nothing only when `roomy` is empty.
-    fn choose(&self, roomy: &[RoomyWorker<'_>], kind: &str, rng: &mut dyn Rng) -> Option<usize>;
+    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, rng: &mut dyn Rng)
+    -> Option<usize>;
 
     /// Must be told of the workers before the first choice among them.
     fn prepare(&self, _views: &mut [WorkerView]) {}
 
     /// Must be told of each task of a kind that a view takes.
-    fn on_taken(&self, _view: &mut WorkerView, _kind: &str) {}
+    fn on_committed(&self, _view: &mut WorkerView, _kind: &str) {}
 }
 
 /// Any worker with room.
@@ -231,7 +232,7 @@
 }
 
 impl PlacementPolicy for RandomPlacement {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, rng: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, rng: &mut dyn Rng) -> Option<usize> {
         if roomy.is_empty() {
             return None;
         }
@@ -240,20 +241,20 @@
 }
 
 impl PlacementPolicy for FirstFit {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
         roomy.first().map(|one| one.0)
     }
 }
 
 impl PlacementPolicy for LeastLoaded {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
         let shares = roomy.iter().map(|(index, view)| (*index, view.committed_share()));
         shares.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(index, _)| index)
     }
 }
 
 impl PlacementPolicy for PairwisePlacement {
-    fn choose(&self, roomy: &[RoomyWorker<'_>], kind: &str, _: &mut dyn Rng) -> Option<usize> {
+    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, _: &mut dyn Rng) -> Option<usize> {
         let shares: Vec<f64> = roomy.iter().map(|(_, view)| view.committed_share()).collect();
         let least = shares.iter().copied().fold(f64::INFINITY, f64::min);
         let mut added = AddedSlowdowns { model: &self.model, kind, known: HashMap::new() };
@@ -271,7 +272,7 @@
         }
     }
 
-    fn on_taken(&self, view: &mut WorkerView, kind: &str) {
+    fn on_committed(&self, view: &mut WorkerView, kind: &str) {
         for (service, slowdown) in view.services.iter().zip(&mut view.slowdowns) {
             *slowdown += self.model.estimate(service, kind).slowdown;
         }
@@ -306,13 +307,13 @@
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
-/// use greengagearch::request::worker_choice::FirstFit;
-/// use greengagearch::request::worker_choice::place;
+/// use greengagearch::request::placement_policy::FirstFit;
+/// use greengagearch::request::placement_policy::choose_worker;
 ///
 /// let amount = ResourceAmount::default();
-/// assert_eq!(place(&FirstFit, &[], &amount, "roster", &[], &mut rand::rng()), None);
+/// assert_eq!(choose_worker(&FirstFit, &[], &amount, "roster", &[], &mut rand::rng()), None);
 /// ```
-pub fn place(
+pub fn choose_worker(
     policy: &dyn PlacementPolicy,
     views: &[WorkerView],
     amount: &ResourceAmount,
@@ -321,8 +322,9 @@
     rng: &mut dyn Rng,
 ) -> Option<usize> {
     let numbered = views.iter().enumerate();
-    let roomy: Vec<RoomyWorker<'_>> = numbered.filter(|(_, view)| view.has_room(amount)).collect();
-    let preferred: Vec<RoomyWorker<'_>> =
+    let roomy: Vec<CandidateWorker<'_>> =
+        numbered.filter(|(_, view)| view.has_room(amount)).collect();
+    let preferred: Vec<CandidateWorker<'_>> =
         roomy.iter().copied().filter(|(_, view)| !avoid.contains(&view.worker)).collect();
     policy.choose(if preferred.is_empty() { &roomy } else { &preferred }, kind, rng)
 }
--- a/src/workflow/disturbance.rs
+++ b/src/workflow/pair_interference.rs
@@ -84,54 +84,54 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementRisk {
     /// The worst load that is expected, as a share of the load at the target.
-    pub pressure: f64,
+    pub load_ratio: f64,
     /// The most that the task itself adds to a load.
-    pub own: f64,
+    pub added_load: f64,
     /// Whether a pair that was never seen is among those that decide it.
-    pub is_unseen: bool,
+    pub is_unmeasured: bool,
 }
 
 impl PlacementRisk {
     /// Whether the task puts no target in danger.
     ///
     /// ```
-    /// use greengagearch::workflow::disturbance::PlacementRisk;
+    /// use greengagearch::workflow::pair_interference::PlacementRisk;
     ///
-    /// assert!(PlacementRisk { pressure: 0.5, own: 0.1, is_unseen: false }.is_low());
+    /// assert!(PlacementRisk { load_ratio: 0.5, added_load: 0.1, is_unmeasured: false }.is_low());
     /// ```
     pub fn is_low(&self) -> bool {
-        self.pressure <= ALLOWED_PRESSURE || self.own <= LIGHT_LOAD
+        self.load_ratio <= ALLOWED_PRESSURE || self.added_load <= LIGHT_LOAD
     }
 }
 
 /// The learner.
 #[derive(Clone, Debug, Default)]
-pub struct DisturbanceModel {
-    pub(crate) least_tails: BTreeMap<ImageName, f64>,
+pub struct PairInterferenceModel {
+    pub(crate) min_tails: BTreeMap<ImageName, f64>,
     /// By job and step, whose tasks swing alike.
     loads: BTreeMap<JobId, BTreeMap<u32, Estimate>>,
     /// By the image that serves, then by the one that fills.
     pub(crate) pairs: BTreeMap<ImageName, BTreeMap<ImageName, Estimate>>,
 }
 
-impl DisturbanceModel {
+impl PairInterferenceModel {
     /// Learns from the tails that a worker has just reported.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
-    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
+    /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
-    /// let mut inventory = WorkerInventory::default();
-    /// DisturbanceModel::default().learn(inventory.entry("i-1", Instant::now()), Instant::now());
+    /// let mut board = WorkerBoard::default();
+    /// PairInterferenceModel::default().learn(board.entry("i-1", Instant::now()), Instant::now());
     /// ```
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
-            let tail = run.seen.as_ref().map_or(0, |seen| seen.usage) as f64;
+            let tail = run.last_report.as_ref().map_or(0, |seen| seen.usage) as f64;
             if tail > 0.0 {
-                let least = self.least_tails.entry(run.image.clone()).or_insert(tail);
+                let least = self.min_tails.entry(run.image.clone()).or_insert(tail);
                 *least = least.min(tail);
                 tails.entry(load_key(&key.0)).or_default().push((tail, run));
             }
@@ -183,9 +183,9 @@
     /// Forgets the loads of a job that has ended.
     ///
     /// ```
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     ///
-    /// DisturbanceModel::default().forget_job("a");
+    /// PairInterferenceModel::default().forget_job("a");
     /// ```
     pub fn forget_job(&mut self, job: &str) {
         self.loads.remove(job);
@@ -196,32 +196,32 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::spec::StepSpec;
     /// use greengagearch::workflow::task_name::TaskName;
-    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
+    /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
     /// let now = Instant::now();
-    /// let mut inventory = WorkerInventory::default();
+    /// let mut board = WorkerBoard::default();
     /// let step = StepSpec { target_ms: 50, ..StepSpec::default() };
     /// let key: (TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
-    /// inventory.assign("i-1", key.clone(), &step, now, now);
-    /// let run = &inventory.get("i-1").unwrap().assigned[&key];
-    /// assert_eq!(DisturbanceModel::default().idle_tail(run), 10.0);
+    /// board.assign("i-1", key.clone(), &step, now, now);
+    /// let run = &board.get("i-1").unwrap().assigned[&key];
+    /// assert_eq!(PairInterferenceModel::default().idle_tail(run), 10.0);
     /// ```
     pub fn idle_tail(&self, run: &AssignedRun) -> f64 {
-        let least = self.least_tails.get(&run.image);
+        let least = self.min_tails.get(&run.image);
         least.map_or(run.target_ms as f64 * FIRST_IDLE_SHARE, |least| least * IDLE_SHARE)
     }
 
     /// The tail of an image that serves without any load, in milliseconds; zero when none was seen.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
-    /// assert_eq!(model.idle_tail_of("x"), 0.0);
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
+    /// assert_eq!(model.idle_tail_of_image("x"), 0.0);
     /// ```
-    pub fn idle_tail_of(&self, image: &str) -> f64 {
-        self.least_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
+    pub fn idle_tail_of_image(&self, image: &str) -> f64 {
+        self.min_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
     }
 
     /// What a task of an image that fills would do on a worker.
@@ -229,15 +229,15 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// use greengagearch::workflow::disturbance::DisturbanceModel;
-    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
+    /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
+    /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
-    /// let mut inventory = WorkerInventory::default();
-    /// let risk = DisturbanceModel::default().risk(inventory.entry("i-1", Instant::now()), "x");
-    /// assert_eq!(risk.pressure, 0.0);
+    /// let mut board = WorkerBoard::default();
+    /// let risk = PairInterferenceModel::default().risk(board.entry("i-1", Instant::now()), "x");
+    /// assert_eq!(risk.load_ratio, 0.0);
     /// ```
     pub fn risk(&self, worker: &WorkerEntry, image: &str) -> PlacementRisk {
-        let mut risk = PlacementRisk { pressure: 0.0, own: 0.0, is_unseen: false };
+        let mut risk = PlacementRisk { load_ratio: 0.0, added_load: 0.0, is_unmeasured: false };
         let mut last_step = None;
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
             // Tasks of one step come one after another, and one says what all do.
@@ -246,13 +246,13 @@
                 continue;
             }
             let load = self.load(&key.0).map_or(FIRST_LOAD, |load| load.value);
-            let fills = worker.assigned.values().filter(|other| other.fills);
+            let fills = worker.assigned.values().filter(|other| other.best_effort);
             let added: f64 = fills.map(|other| self.added(&run.image, &other.image)).sum();
             let own = self.added(&run.image, image);
             let expected = load + SWING_ROOM + added + own;
-            risk.own = risk.own.max(own);
-            risk.pressure = risk.pressure.max(expected / self.target_load(run));
-            risk.is_unseen |= self.pair(&run.image, image).is_none();
+            risk.added_load = risk.added_load.max(own);
+            risk.load_ratio = risk.load_ratio.max(expected / self.target_load(run));
+            risk.is_unmeasured |= self.pair(&run.image, image).is_none();
         }
         risk
     }
@@ -260,7 +260,7 @@
     /// What one task of an image that fills adds to the loads of the images that it was seen beside.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.effects("x").is_empty());
     /// ```
     pub fn effects(&self, image: &str) -> Vec<ImageEffect> {
@@ -274,7 +274,7 @@
     /// All pairs that were learned, as `serving/filling=load`, for the log.
     ///
     /// ```
-    /// let model = greengagearch::workflow::disturbance::DisturbanceModel::default();
+    /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert_eq!(model.summary(), "");
     /// ```
     pub fn summary(&self) -> String {
@@ -327,14 +327,14 @@
         overlap >= FULL_OVERLAP || overlap < LEAST_OVERLAP
     };
     let mut is_clear = true;
-    for run in worker.assigned.values().filter(|run| run.fills) {
-        if let Some(begin) = run.seen_since {
-            let measured = run.seen.as_ref().map_or(0, |seen| seen.measured_percent);
+    for run in worker.assigned.values().filter(|run| run.best_effort) {
+        if let Some(begin) = run.first_reported_at {
+            let measured = run.last_report.as_ref().map_or(0, |seen| seen.measured_percent);
             is_clear &= add(&run.image, begin, now, measured);
         }
     }
-    for ended in &worker.ended_fills {
-        is_clear &= add(&ended.image, ended.begin, ended.end, ended.percent);
+    for ended in &worker.ended_best_effort {
+        is_clear &= add(&ended.image, ended.started_at, ended.ended_at, ended.pace_percent);
     }
     is_clear.then_some(fills)
 }
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -5,8 +5,8 @@
 
 use crate::ids::InstanceId;
 use crate::process::suspicion::WorkerSuspicion;
-use crate::workflow::advice_book::AdviceBook;
-use crate::workflow::disturbance::DisturbanceModel;
+use crate::workflow::advice_cache::AdviceCache;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_entry::WorkerEntry;
@@ -87,9 +87,9 @@
     /// Suspicion of workers on which tasks fail.
     pub suspicion: &'a WorkerSuspicion,
     /// Known interference between images.
-    pub disturbance: &'a DisturbanceModel,
+    pub interference: &'a PairInterferenceModel,
     /// Tickets of the advice service.
-    pub advice: &'a AdviceBook,
+    pub advice: &'a AdviceCache,
     /// Worker that is being emptied of serving tasks, if any.
     pub being_emptied: Option<&'a str>,
     /// Current time.
@@ -102,8 +102,8 @@
 /// use std::time::Instant;
 ///
 /// use greengagearch::process::suspicion::WorkerSuspicion;
-/// use greengagearch::workflow::advice_book::AdviceBook;
-/// use greengagearch::workflow::disturbance::DisturbanceModel;
+/// use greengagearch::workflow::pair_interference::AdviceCache;
+/// use greengagearch::workflow::interference::PairInterferenceModel;
 /// use greengagearch::workflow::placement::PlacementRequest;
 /// use greengagearch::workflow::placement::PlacementView;
 /// use greengagearch::workflow::placement::RiskLimit;
@@ -126,12 +126,12 @@
 ///     excluded_worker: None,
 /// };
 /// let (inventory, suspicion) = (WorkerInventory::default(), WorkerSuspicion::default());
-/// let disturbance = DisturbanceModel::default();
-/// let advice = AdviceBook::default();
+/// let interference = PairInterferenceModel::default();
+/// let advice = AdviceCache::default();
 /// let view = PlacementView {
 ///     inventory: &inventory,
 ///     suspicion: &suspicion,
-///     disturbance: &disturbance,
+///     interference: &interference,
 ///     advice: &advice,
 ///     being_emptied: None,
 ///     now: Instant::now(),
@@ -142,7 +142,7 @@
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.inventory.iter() {
         let available = worker.available_to(request.task, view.now);
-        let has_capacity = available.contains(&request.step.counted_room());
+        let has_capacity = available.contains(&request.step.reserved_resources());
         if !has_capacity || !is_eligible(request, view, instance, worker) {
             continue;
         }
@@ -204,7 +204,7 @@
 ) -> Option<f64> {
     let status = worker.status.as_ref()?;
     let step = request.step;
-    let mut cost = if step.fills {
+    let mut cost = if step.best_effort {
         best_effort_cost(request, view, worker)?
     } else {
         packing_cost(request, worker)
@@ -225,7 +225,7 @@
     if step.long_running && view.being_emptied == Some(instance) {
         cost += PRIOR_DECISION_COST;
     }
-    if worker.holds.is_for(request.task, view.now) {
+    if worker.reservations.has_reservation(request.task, view.now) {
         cost -= PRIOR_DECISION_COST;
     }
     Some(cost)
@@ -253,8 +253,9 @@
     worker: &WorkerEntry,
 ) -> Option<f64> {
     let available = worker.best_effort_capacity();
-    let requested = request.step.room.millicores as f64;
-    let demand = worker.best_effort_demand() + worker.holds.filling(request.task, view.now);
+    let requested = request.step.resources.millicores as f64;
+    let demand = worker.best_effort_demand()
+        + worker.reservations.best_effort_millicores(request.task, view.now);
     let is_alone = demand == 0.0 && available > 0.0;
     if available - demand < requested * MIN_BEST_EFFORT_SHARE
         && !is_alone
@@ -269,15 +270,15 @@
     if worker.is_saturated() && request.risk != RiskLimit::Any {
         return None;
     }
-    let risk = view.disturbance.risk(worker, &request.step.image);
+    let risk = view.interference.risk(worker, &request.step.image);
     let is_allowed = match request.risk {
-        RiskLimit::Known => !risk.is_unseen && risk.is_low(),
+        RiskLimit::Known => !risk.is_unmeasured && risk.is_low(),
         RiskLimit::Explore => {
             let passed = |at: Instant| view.now.saturating_duration_since(at) > EXPLORE_DELAY;
             let is_stable = worker.best_effort_changed.is_none_or(passed);
-            (!risk.is_unseen && risk.is_low()) || (risk.is_unseen && is_stable)
+            (!risk.is_unmeasured && risk.is_low()) || (risk.is_unmeasured && is_stable)
         }
         RiskLimit::Any => true,
     };
-    is_allowed.then_some(load + risk.pressure * RISK_COST + risk.own * OWN_LOAD_COST)
+    is_allowed.then_some(load + risk.load_ratio * RISK_COST + risk.added_load * OWN_LOAD_COST)
 }
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -73,7 +73,7 @@
         /// Worker that the run was assigned to.
         worker: InstanceId,
     },
-    /// A run assigned to a previous runner instance is running on its successor, which carried out
+    /// A run assigned to a former runner instance is running on its successor, which carried out
     /// the start order.
     RunAdopted {
         /// Task of the run.
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -17,10 +17,10 @@
 use crate::ids::InstanceId;
 use crate::ids::JobId;
 use crate::process::suspicion::WorkerSuspicion;
-use crate::workflow::advice_book::AdviceBook;
-use crate::workflow::advice_book::AdviceQuestion;
+use crate::workflow::advice_cache::AdviceCache;
+use crate::workflow::advice_cache::AdviceQuery;
 use crate::workflow::changed_jobs::ChangedJobs;
-use crate::workflow::disturbance::DisturbanceModel;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner_batch::PlanBatch;
 use crate::workflow::planner_consolidation::ConsolidationState;
@@ -48,9 +48,9 @@
     pub(crate) inventory: WorkerInventory,
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
-    pub(crate) disturbance: DisturbanceModel,
-    pub(crate) advice: AdviceBook,
-    pub(crate) questions: Vec<AdviceQuestion>,
+    pub(crate) interference: PairInterferenceModel,
+    pub(crate) advice: AdviceCache,
+    pub(crate) advice_queries: Vec<AdviceQuery>,
     pub(crate) changed_jobs: ChangedJobs,
     pub(crate) pending_starts: BTreeMap<JobId, Vec<(InstanceId, RunKey)>>,
     pub(crate) pending_acks: BTreeMap<InstanceId, u64>,
@@ -82,9 +82,9 @@
             inventory: WorkerInventory::default(),
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
-            disturbance: DisturbanceModel::default(),
-            advice: AdviceBook::default(),
-            questions: Vec::new(),
+            interference: PairInterferenceModel::default(),
+            advice: AdviceCache::default(),
+            advice_queries: Vec::new(),
             changed_jobs: ChangedJobs::default(),
             pending_starts: BTreeMap::new(),
             pending_acks: BTreeMap::new(),
@@ -140,7 +140,7 @@
         self.evacuate();
         self.consolidate();
         for entry in self.jobs.values_mut() {
-            entry.outlook = None;
+            entry.remaining_work = None;
             let spec = &entry.spec;
             while entry.next_occurrence < spec.times
                 && spec.due_ms(entry.next_occurrence) <= wall_ms
@@ -171,13 +171,13 @@
     /// use std::time::Instant;
     ///
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert!(planner.take_questions().is_empty());
+    /// assert!(planner.take_advice_queries().is_empty());
     /// ```
-    pub fn take_questions(&mut self) -> Vec<AdviceQuestion> {
-        std::mem::take(&mut self.questions)
+    pub fn take_advice_queries(&mut self) -> Vec<AdviceQuery> {
+        std::mem::take(&mut self.advice_queries)
     }
 
-    /// Records a response of the advice service, see [`AdviceBook::on_answer`].
+    /// Records a response of the advice service, see [`AdviceCache::on_answer`].
     ///
     /// ```
     /// use std::time::Instant;
@@ -247,7 +247,7 @@
     pub(crate) fn end_run(&mut self, instance: &str, key: &RunKey, end: RunEnd, checkpoint: &str) {
         let released = self.inventory.release(instance, key, self.now);
         if let Some(run) = &released {
-            let ran = self.now.saturating_duration_since(run.since);
+            let ran = self.now.saturating_duration_since(run.assigned_at);
             self.decisions.push(PlanDecision::RunEnded {
                 task: key.0.clone(),
                 run: key.1,
@@ -256,7 +256,7 @@
                 ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
             });
         }
-        let reported = released.and_then(|run| run.seen).map(|report| report.checkpoint);
+        let reported = released.and_then(|run| run.last_report).map(|report| report.checkpoint);
         let last_checkpoint = reported.unwrap_or_default();
         let checkpoint = if checkpoint.is_empty() { last_checkpoint.as_str() } else { checkpoint };
         let Some(entry) = self.jobs.get_mut(&key.0.job) else {
@@ -264,7 +264,7 @@
         };
         let step = entry.step(&key.0).cloned().unwrap_or_default();
         entry.last_run_ms = self.wall_ms;
-        entry.outlook = None;
+        entry.remaining_work = None;
         if !entry.progress.on_end(&key.0, key.1, end, checkpoint, &step) {
             return;
         }
@@ -308,10 +308,14 @@
             task: name.clone(),
             image: step.image.clone(),
             target_ms: step.target_ms,
-            fills: step.fills,
-            room: step.counted_room(),
-            effects: if step.fills { self.disturbance.effects(&step.image) } else { Vec::new() },
-            idle_tail_ms: self.disturbance.idle_tail_of(&step.image).round() as u32,
+            best_effort: step.best_effort,
+            resources: step.reserved_resources(),
+            effects: if step.best_effort {
+                self.interference.effects(&step.image)
+            } else {
+                Vec::new()
+            },
+            idle_tail_ms: self.interference.idle_tail_of_image(&step.image).round() as u32,
         })
     }
 
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -168,7 +168,7 @@
                 && let Some(run) = worker.assigned.get_mut(key)
             {
                 run.order = Some(u64::MAX);
-                run.told = Some(order.traits.clone());
+                run.sent_traits = Some(order.traits.clone());
             }
             self.outbox.push((instance, NodeOrder::Start(order)));
         }
@@ -180,7 +180,7 @@
         });
         if is_finished && !self.changed_jobs.contains(job) {
             self.jobs.remove(job);
-            self.advice.forget(job);
+            self.advice.forget_job(job);
         }
     }
 
--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -22,7 +22,7 @@
 use crate::workflow::serving_layout::ServingLayout;
 use crate::workflow::serving_layout::long_term_free;
 use crate::workflow::serving_layout::serving_runs;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
@@ -100,9 +100,9 @@
     /// Number of best-effort tasks that are ready but not running, or are throttled.
     fn unmet_best_effort(&self) -> usize {
         let unmet: usize =
-            self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.fills)).sum();
+            self.jobs.values().map(|entry| entry.waiting_tasks(|step| step.best_effort)).sum();
         let runs = self.inventory.iter().flat_map(|(_, worker)| worker.assigned.values());
-        unmet + runs.filter(|run| run.slow_since.is_some()).count()
+        unmet + runs.filter(|run| run.throttled_since.is_some()).count()
     }
 
     fn serving_keys(&self, instance: &str) -> Vec<RunKey> {
@@ -133,7 +133,7 @@
             .workers
             .iter()
             .filter(|(other, worker)| other.as_str() != instance && worker.serving() > 0);
-        let mut free: BTreeMap<&InstanceId, RoomAmount> =
+        let mut free: BTreeMap<&InstanceId, ResourceVector> =
             others.map(|(other, worker)| (other, worker.long_term_free)).collect();
         let Some(worker) = self.inventory.get(instance) else {
             return false;
@@ -147,13 +147,13 @@
             };
             let fitting = free.iter_mut().filter(|(other, available)| {
                 let fits = |entry| is_eligible(&request, &view, other, entry);
-                available.contains(&run.counted) && self.inventory.get(other).is_some_and(fits)
+                available.contains(&run.reserved) && self.inventory.get(other).is_some_and(fits)
             });
             let Some((_, available)) = fitting.min_by_key(|(_, available)| available.millicores)
             else {
                 return false;
             };
-            *available = available.minus(&run.counted);
+            *available = available.minus(&run.reserved);
             true
         })
     }
@@ -175,7 +175,7 @@
     fn fullest_destination(&self, name: &TaskName, from: &str) -> Option<InstanceId> {
         let request = self.move_request(name, from)?;
         let view = self.placement_view();
-        let requested = request.step.counted_room();
+        let requested = request.step.reserved_resources();
         let fitting = self.inventory.iter().filter(|(instance, worker)| {
             worker.is_serving()
                 && worker.available_to(name, self.now).contains(&requested)
@@ -226,7 +226,7 @@
             let Some(entry) = self.inventory.get(to) else {
                 continue;
             };
-            let has_capacity = entry.available_to(&key.0, self.now).contains(&run.counted);
+            let has_capacity = entry.available_to(&key.0, self.now).contains(&run.reserved);
             if has_capacity && is_eligible(&request, &view, to, entry) {
                 best = Some((loss, to));
             }
@@ -235,7 +235,7 @@
     }
 
     fn is_movable(&self, run: &AssignedRun) -> bool {
-        !run.stopping && self.now.saturating_duration_since(run.since) >= MIN_RUN_AGE
+        !run.stopping && self.now.saturating_duration_since(run.assigned_at) >= MIN_RUN_AGE
     }
 
     /// Returns whether each task of a step has one run, which is working and has not been ordered
@@ -256,7 +256,7 @@
             let worker = self.inventory.get(&attempt.worker);
             let reported =
                 worker.and_then(|worker| worker.assigned.get(&key)).filter(|run| !run.stopping);
-            let reported = reported.and_then(|run| run.seen.as_ref());
+            let reported = reported.and_then(|run| run.last_report.as_ref());
             reported.is_some_and(|reported| reported.progress_percent >= WORKING_PERCENT)
         })
     }
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -26,8 +26,8 @@
         let assigned = crash.young.iter().filter(|recent| is_assigned(&recent.task, recent.run));
         let recent = assigned.map(|run| CrashedRun {
             task: run.task.clone(),
-            age: run.age,
-            lived: run.lived,
+            max_age: run.age,
+            min_age: run.lived,
             is_certain: run.is_certain,
         });
         let recent: Vec<CrashedRun> = recent.collect();
@@ -42,13 +42,14 @@
         let worker = self.inventory.get(instance).filter(|worker| !worker.has_ended)?;
         let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
         let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
-        let is_recorded = self.task_suspicion.crashes(&task).iter().any(|one| one.life == instance);
+        let is_recorded =
+            self.task_suspicion.crashes(&task).iter().any(|one| one.instance == instance);
         if is_recorded || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
-        let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_since.is_some();
-        let (age, lived) = (YOUNG_SPAN, Duration::ZERO);
-        self.record_crash(instance, &[CrashedRun { task, age, lived, is_certain }])
+        let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
+        let (max_age, min_age) = (YOUNG_SPAN, Duration::ZERO);
+        self.record_crash(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
 
     fn record_crash(&mut self, instance: &str, recent: &[CrashedRun]) -> Option<TaskName> {
@@ -59,7 +60,7 @@
             self.decisions.push(PlanDecision::TaskIsolated { task, crashes, worker });
         }
         let recent = recent.iter().map(|run| &run.task);
-        recent.chain(&verdict.explained).for_each(|task| self.store_crashes(task));
+        recent.chain(&verdict.exonerated).for_each(|task| self.store_crashes(task));
         verdict.given_up
     }
 
@@ -101,8 +102,8 @@
         };
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
-            let proof = self.task_suspicion.proof_span(task);
-            let age = run.begun_since.map(|begun| self.now.saturating_duration_since(begun));
+            let proof = self.task_suspicion.clearing_age(task);
+            let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
             if proof.is_some_and(|proof| age.is_some_and(|age| age >= proof)) {
                 cleared.push(task.clone());
             }
@@ -125,7 +126,7 @@
         let mut started = 0;
         for job in self.task_suspicion.isolated_jobs() {
             for name in self.isolated_tasks(&job) {
-                if !self.may_isolate() {
+                if !self.may_start_isolated() {
                     return started;
                 }
                 started += self.start_isolated_task(&name);
@@ -167,20 +168,20 @@
 
     /// Marks a worker as running a suspected task, which keeps other tasks from starting there.
     pub(crate) fn isolate(&mut self, worker: &str, key: &RunKey) {
-        self.task_suspicion.on_isolated(self.now);
+        self.task_suspicion.on_isolated_start(self.now);
         if let Some(worker) = self.inventory.get_mut(worker) {
             worker.isolated.get_or_insert_with(|| key.clone());
         }
     }
 
     /// Returns whether another isolated task may start now.
-    pub(crate) fn may_isolate(&self) -> bool {
+    pub(crate) fn may_start_isolated(&self) -> bool {
         let open = self.inventory.iter().filter(|(_, worker)| worker.is_open(self.now));
         let (mut workers, mut isolated) = (0, 0);
         for (_, worker) in open {
             workers += 1;
             isolated += usize::from(worker.isolated.is_some());
         }
-        self.task_suspicion.may_isolate(workers, isolated, self.now)
+        self.task_suspicion.may_start_isolated(workers, isolated, self.now)
     }
 }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -7,13 +7,13 @@
 use crate::ids::JobId;
 use crate::ids::RowVersion;
 use crate::workflow::job_forecast::JobForecast;
-use crate::workflow::job_outlook::JobOutlook;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::progress::JobEnd;
 use crate::workflow::progress::JobProgress;
 use crate::workflow::progress::JobRecord;
 use crate::workflow::progress::JobStatus;
+use crate::workflow::remaining_work::RemainingWork;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 use crate::workflow::task_name::TaskName;
@@ -45,7 +45,7 @@
     /// Estimates of how long the job's tasks take.
     pub forecast: JobForecast,
     /// Work that remains; `None` if it has to be computed again.
-    pub outlook: Option<JobOutlook>,
+    pub remaining_work: Option<RemainingWork>,
 }
 
 impl JobEntry {
@@ -67,8 +67,8 @@
     }
 
     /// Whether any step consists of best-effort tasks.
-    pub(crate) fn fills(&self) -> bool {
-        self.spec.steps.iter().any(|step| step.fills)
+    pub(crate) fn is_best_effort(&self) -> bool {
+        self.spec.steps.iter().any(|step| step.best_effort)
     }
 
     pub(crate) fn new(spec: WorkflowSpec, record_version: RowVersion) -> JobEntry {
@@ -84,7 +84,7 @@
             next_occurrence: 0,
             preempted_ms: 0,
             forecast: JobForecast::default(),
-            outlook: None,
+            remaining_work: None,
         }
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// Work that remains, as of the last planning round.
-    pub(crate) fn outlook(&self) -> JobOutlook {
-        self.outlook.unwrap_or_else(|| JobOutlook::of(self))
+    pub(crate) fn remaining_work(&self) -> RemainingWork {
+        self.remaining_work.unwrap_or_else(|| RemainingWork::of(self))
     }
 
     pub(crate) fn counts(&self) -> Vec<u32> {
@@ -198,7 +198,7 @@
         entry.progress_version = version;
         if entry.end.is_none() {
             for (name, crashes, is_isolated) in entry.progress.crashed_tasks(job) {
-                self.task_suspicion.adopt(&name, crashes, is_isolated);
+                self.task_suspicion.restore(&name, crashes, is_isolated);
             }
         }
         let unknown_step = StepSpec::default();
@@ -243,7 +243,7 @@
                 entry.progress.close_occurrence(occurrence);
             }
         }
-        if entry.progress.most_failures() >= entry.spec.policy.max_attempts {
+        if entry.progress.max_failures() >= entry.spec.policy.max_attempts {
             self.end_job(job, JobEnd::Failed);
         } else if entry.next_occurrence >= entry.spec.occurrences() && entry.progress.is_all_done()
         {
@@ -260,13 +260,13 @@
             return;
         }
         entry.end = Some(end);
-        self.disturbance.forget_job(job);
+        self.interference.forget_job(job);
         self.task_suspicion.forget_job(job);
         self.decisions.push(PlanDecision::JobEnded {
             job: job.to_string(),
             end,
             age_ms: self.wall_ms.saturating_sub(entry.spec.accepted_ms),
-            objective_ms: JobOutlook::of(entry).objective_ms,
+            objective_ms: RemainingWork::of(entry).objective_ms,
         });
         self.changed_jobs.insert(job.to_string());
         for (name, attempt) in entry.progress.attempts(job) {
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -4,8 +4,8 @@
 use std::collections::HashSet;
 
 use crate::ids::QueueName;
-use crate::workflow::disturbance::DisturbanceModel;
-use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::learned_interference::LearnedInterference;
+use crate::workflow::pair_interference::PairInterferenceModel;
 use crate::workflow::planner::Planner;
 use crate::workflow::urgency::JobUrgency;
 
@@ -74,7 +74,7 @@
         load.waiting_tasks = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
         let late = self.late_best_effort_jobs();
         let open = self.jobs.values().filter(|entry| entry.end.is_none());
-        load.best_effort_jobs = open.filter(|entry| entry.fills()).count();
+        load.best_effort_jobs = open.filter(|entry| entry.is_best_effort()).count();
         load.late_best_effort_jobs = late.len();
         for (_, worker) in self.inventory.iter() {
             load.saturated_workers += usize::from(worker.is_saturated());
@@ -82,9 +82,9 @@
             load.serving_workers += usize::from(worker.is_serving());
             for (key, run) in &worker.assigned {
                 load.serving_runs += usize::from(run.target_ms > 0);
-                load.best_effort_runs += usize::from(run.fills);
-                load.throttled_runs += usize::from(run.slow_since.is_some());
-                if let Some(report) = run.seen.as_ref().filter(|_| run.fills) {
+                load.best_effort_runs += usize::from(run.best_effort);
+                load.throttled_runs += usize::from(run.throttled_since.is_some());
+                if let Some(report) = run.last_report.as_ref().filter(|_| run.best_effort) {
                     load.best_effort_demand +=
                         run.millicores * u64::from(report.pace_percent) / 100;
                     load.best_effort_usage += report.usage;
@@ -92,7 +92,7 @@
                         load.late_best_effort_usage += report.usage;
                     }
                 }
-                load.other_runs += usize::from(!run.fills && run.target_ms == 0);
+                load.other_runs += usize::from(!run.best_effort && run.target_ms == 0);
             }
         }
         load
@@ -100,7 +100,8 @@
 
     /// Best-effort jobs that have not ended and can no longer meet their objective.
     fn late_best_effort_jobs(&self) -> HashSet<&str> {
-        let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.fills());
+        let open =
+            self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.is_best_effort());
         let late = open.filter(|(_, entry)| JobUrgency::of(entry, self.wall_ms).is_late());
         late.map(|(job, _)| job.as_str()).collect()
     }
@@ -113,8 +114,8 @@
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// assert!(planner.learned().pairs.is_empty());
     /// ```
-    pub fn learned(&self) -> LearnedEffects {
-        self.disturbance.learned()
+    pub fn learned(&self) -> LearnedInterference {
+        self.interference.learned()
     }
 
     /// Restores the interference between images that an earlier planner has learned.
@@ -125,8 +126,8 @@
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
     /// planner.restore_learned(Default::default());
     /// ```
-    pub fn restore_learned(&mut self, learned: LearnedEffects) {
-        self.disturbance = DisturbanceModel::from_learned(learned, self.now);
+    pub fn restore_learned(&mut self, learned: LearnedInterference) {
+        self.interference = PairInterferenceModel::from_learned(learned, self.now);
     }
 
     /// Summarizes the learned interference between images, for the log.
@@ -138,6 +139,6 @@
     /// assert_eq!(planner.learned_summary(), "");
     /// ```
     pub fn learned_summary(&self) -> String {
-        self.disturbance.summary()
+        self.interference.summary()
     }
 }
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -57,7 +57,7 @@
     pub(crate) fn move_run(&mut self, from: &str, key: RunKey, to: &str, why: MoveReason) {
         let step = self.jobs.get(&key.0.job).and_then(|entry| entry.step(&key.0)).cloned();
         if let (Some(step), Some(worker)) = (step, self.inventory.get_mut(to)) {
-            worker.holds.keep(&key.0, &step, self.now, RESERVATION_LIFETIME);
+            worker.reservations.reserve(&key.0, &step, self.now, RESERVATION_LIFETIME);
         }
         self.decisions.push(PlanDecision::Moved {
             task: key.0.clone(),
@@ -76,7 +76,7 @@
                 continue;
             }
             for (key, run) in &worker.assigned {
-                let progress = run.seen.as_ref().map_or(0, |report| report.progress_percent);
+                let progress = run.last_report.as_ref().map_or(0, |report| report.progress_percent);
                 let can_continue =
                     run.long_running || run.checkpoints && progress < NEARLY_DONE_PERCENT;
                 if can_continue && !run.stopping {
@@ -92,8 +92,8 @@
         for (instance, worker) in self.inventory.iter() {
             for (key, run) in &worker.assigned {
                 let throttled_for =
-                    run.slow_since.map(|since| self.now.saturating_duration_since(since));
-                let age = self.now.saturating_duration_since(run.since);
+                    run.throttled_since.map(|since| self.now.saturating_duration_since(since));
+                let age = self.now.saturating_duration_since(run.assigned_at);
                 let is_cheap = run.checkpoints || age < MAX_AGE_WITHOUT_CHECKPOINT;
                 if throttled_for.is_some_and(|span| span >= MIN_THROTTLED_TIME)
                     && is_cheap
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -38,7 +38,7 @@
         let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < MIN_WAIT_MS;
         let is_recent =
             self.wall_ms.saturating_sub(entry.preempted_ms) < MIN_PREEMPTION_INTERVAL_MS;
-        if spec.fills || is_early || is_recent {
+        if spec.best_effort || is_early || is_recent {
             return;
         }
         let Some(cheapest) = self.cheapest_preemption(name, spec) else {
@@ -79,11 +79,11 @@
         instance: &str,
         worker: &WorkerEntry,
     ) -> Option<Preemption> {
-        let requested = spec.counted_room();
+        let requested = spec.reserved_resources();
         let mut free = worker.free_resources();
         // Runs that are stopping free their resources without a preemption.
         let stopping = worker.assigned.values().filter(|run| run.stopping);
-        stopping.for_each(|run| free = free.plus(&run.counted));
+        stopping.for_each(|run| free = free.plus(&run.reserved));
         let mut candidates: Vec<(u64, &RunKey, &AssignedRun)> = worker
             .assigned
             .iter()
@@ -96,7 +96,7 @@
             if free.contains(&requested) {
                 break;
             }
-            free = free.plus(&run.counted);
+            free = free.plus(&run.reserved);
             preemption.runs.push(key.clone());
             preemption.loss += loss;
         }
@@ -114,13 +114,13 @@
     ) -> bool {
         let priority = |job: &str| self.jobs.get(job).map(|entry| entry.spec.policy.priority);
         let is_urgent = priority(&name.job) < priority(&other.job);
-        !run.long_running && (is_urgent || spec.long_running && run.fills)
+        !run.long_running && (is_urgent || spec.long_running && run.best_effort)
     }
 
     /// Processor time lost by stopping a run. A task with checkpoints loses only the work since the
     /// last one.
     fn lost_processor_time(&self, run: &AssignedRun) -> u64 {
-        let ran = self.now.saturating_duration_since(run.since);
+        let ran = self.now.saturating_duration_since(run.assigned_at);
         let loss = if run.checkpoints { ran.min(MAX_CHECKPOINT_INTERVAL) } else { ran };
         u64::try_from(loss.as_millis()).unwrap_or(u64::MAX).saturating_mul(run.millicores)
     }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -12,14 +12,14 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::RejectReason;
 use crate::connection::node_protocol::RejectedRun;
-use crate::connection::node_protocol::RunnerLook;
+use crate::connection::node_protocol::RunnerSnapshot;
 use crate::connection::node_protocol::RunnerStatus;
 use crate::connection::node_protocol::StartOrder;
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::RunWork;
-use crate::workflow::grant::LONGEST_LEASE;
-use crate::workflow::grant::surely_expired;
+use crate::workflow::assigned_run::RunProgress;
+use crate::workflow::grant::MAX_LEASE;
+use crate::workflow::grant::expired_by;
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::progress::RunEnd;
@@ -35,7 +35,7 @@
 
 /// Returns whether the traits of a run differ enough from those sent before to be sent again.
 fn has_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
-    let Some(sent) = &run.told else {
+    let Some(sent) = &run.sent_traits else {
         return true;
     };
     let sent_effect = |serving: &str| sent.effects.iter().find(|effect| effect.serving == serving);
@@ -48,7 +48,7 @@
 }
 
 /// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
-fn rejections_shown(snapshot: &RunnerLook) -> Vec<bool> {
+fn rejections_shown(snapshot: &RunnerSnapshot) -> Vec<bool> {
     let runs = snapshot.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
     runs.map(|key| snapshot.shows(&key)).collect()
 }
@@ -66,7 +66,7 @@
     let mut changed = false;
     for (key, run) in &mut worker.assigned {
         match present.remove(key) {
-            Some(report) => changed |= run.on_seen(report, now) && run.fills,
+            Some(report) => changed |= run.on_report(report, now) && run.best_effort,
             None if run.order.is_some_and(|order| order <= orders_seen || resync) => {
                 absent.push(key.clone());
             }
@@ -97,71 +97,70 @@
     ///     former: vec![],
     ///     unsettled: vec![],
     ///     crashes: vec![],
-    ///     look: None,
+    ///     snapshot: None,
     /// };
     /// planner.on_report(report, true);
     /// ```
     pub fn on_report(&mut self, report: NodeReport, is_new_link: bool) {
         if let Some(status) = &report.runner {
-            let has_previous = !report.former.is_empty();
-            self.record_status(status, has_previous, is_new_link);
+            let has_former = !report.former.is_empty();
+            self.record_status(status, has_former, is_new_link);
             self.adopt_runs(&report, &status.instance);
         }
         let mut given_up = Vec::new();
         for crash in &report.crashes {
             given_up.extend(self.on_crash(crash).map(|task| (task, crash.instance.as_str())));
         }
-        for previous in &report.former {
-            self.give_up_settled_runs(previous, &report.unsettled);
+        for former in &report.former {
+            self.give_up_settled_runs(former, &report.unsettled);
         }
         for (task, worker) in given_up {
             self.give_up_task(task, worker);
         }
-        if let (Some(status), Some(snapshot)) = (report.runner, report.look) {
+        if let (Some(status), Some(snapshot)) = (report.runner, report.snapshot) {
             self.on_snapshot(&status.instance, snapshot);
         }
     }
 
-    fn record_status(&mut self, status: &RunnerStatus, has_previous: bool, is_new_link: bool) {
+    fn record_status(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
         let worker = self.inventory.entry(&status.instance, self.inherited_lease_end);
-        if has_previous && worker.status.is_none() {
-            // Calls meant for a previous instance may have extended a lease of the new one
-            // unnoticed.
-            worker.lease_end = worker.lease_end.max(surely_expired(self.now, LONGEST_LEASE));
+        if has_former && worker.status.is_none() {
+            // Grants meant for a former instance may have extended a lease of the new one without
+            // the planner knowing.
+            worker.lease_end = worker.lease_end.max(expired_by(self.now, MAX_LEASE));
         }
         worker.status = Some(status.clone());
         worker.last_contact = Some(self.now);
         worker.resync |= is_new_link;
     }
 
-    /// Transfers runs assigned to previous instances that the current instance shows as its own,
+    /// Transfers runs assigned to former instances that the current instance shows as its own,
     /// since it has carried out their start orders.
     fn adopt_runs(&mut self, report: &NodeReport, instance: &str) {
-        let Some(snapshot) = &report.look else {
+        let Some(snapshot) = &report.snapshot else {
             return;
         };
-        for previous in &report.former {
-            for key in self.runs_shown(previous, snapshot) {
-                self.adopt_run(&key, previous, instance);
+        for former in &report.former {
+            for key in self.runs_shown(former, snapshot) {
+                self.adopt_run(&key, former, instance);
             }
         }
     }
 
     /// Runs assigned to an instance that a snapshot shows.
-    fn runs_shown(&self, previous: &str, snapshot: &RunnerLook) -> Vec<RunKey> {
-        let runs =
-            self.inventory.get(previous).into_iter().flat_map(|worker| worker.assigned.keys());
+    fn runs_shown(&self, former: &str, snapshot: &RunnerSnapshot) -> Vec<RunKey> {
+        let runs = self.inventory.get(former).into_iter().flat_map(|worker| worker.assigned.keys());
         runs.filter(|key| snapshot.shows(key)).cloned().collect()
     }
 
-    fn adopt_run(&mut self, key: &RunKey, previous: &str, instance: &str) {
+    fn adopt_run(&mut self, key: &RunKey, former: &str, instance: &str) {
         self.decisions.push(PlanDecision::RunAdopted {
             task: key.0.clone(),
             run: key.1,
-            from: previous.to_string(),
+            from: former.to_string(),
             worker: instance.to_string(),
         });
-        let was_stopping = self.inventory.transfer(previous, instance, key);
+        let was_stopping = self.inventory.transfer(former, instance, key);
         self.record_instance(key, instance);
         if was_stopping {
             self.stop_run(instance, key.clone());
@@ -182,7 +181,7 @@
         }
     }
 
-    fn on_snapshot(&mut self, instance: &str, snapshot: RunnerLook) {
+    fn on_snapshot(&mut self, instance: &str, snapshot: RunnerSnapshot) {
         let shown = rejections_shown(&snapshot);
         self.on_ends(instance, snapshot.ended);
         for (rejected, shown) in snapshot.rejected.iter().zip(shown) {
@@ -196,11 +195,11 @@
         };
         let resync = std::mem::take(&mut worker.resync);
         let absent = update_runs(worker, present, snapshot.orders_seen, resync, self.now);
-        self.disturbance.learn(worker, self.now);
-        let progressed = worker.assigned.iter().filter(|(_, run)| !run.long_running);
-        let progressed = progressed.filter_map(|(key, run)| Some((key.0.clone(), run.work?)));
-        let progressed: Vec<(TaskName, RunWork)> = progressed.collect();
-        self.learn_durations(&progressed);
+        self.interference.learn(worker, self.now);
+        let progress = worker.assigned.iter().filter(|(_, run)| !run.long_running);
+        let progress = progress.filter_map(|(key, run)| Some((key.0.clone(), run.progress?)));
+        let progress: Vec<(TaskName, RunProgress)> = progress.collect();
+        self.learn_durations(&progress);
         self.send_changed_traits(instance);
         self.clear_surviving_tasks(instance);
         for key in absent {
@@ -225,11 +224,11 @@
         }
     }
 
-    fn learn_durations(&mut self, progressed: &[(TaskName, RunWork)]) {
-        for (name, work) in progressed {
+    fn learn_durations(&mut self, progress: &[(TaskName, RunProgress)]) {
+        for (name, done) in progress {
             if let Some(entry) = self.jobs.get_mut(&name.job) {
-                let span = (f64::from(work.from_percent), f64::from(work.to_percent));
-                entry.forecast.on_progress(name.into(), span, work.full_ms);
+                let span = (f64::from(done.from_percent), f64::from(done.to_percent));
+                entry.forecast.record_progress(name.into(), span, done.worked_ms);
             }
         }
     }
@@ -329,7 +328,7 @@
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let reported = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
+        let reported = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
         let traits: Vec<(RunKey, TaskTraits)> =
             reported.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
         let stopping: Vec<RunKey> = worker
@@ -353,8 +352,8 @@
         if worker.traits_sent_at.is_some_and(is_recent) {
             return;
         }
-        let reported = worker.assigned.iter().filter(|(_, run)| run.seen.is_some());
-        let relevant = reported.filter(|(_, run)| run.fills || run.target_ms > 0);
+        let reported = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
+        let relevant = reported.filter(|(_, run)| run.best_effort || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in relevant {
             if let Some(traits) = self.traits(&key.0).filter(|new| has_changed(run, new)) {
@@ -374,7 +373,7 @@
         };
         for (key, traits) in runs {
             if let Some(run) = worker.assigned.get_mut(&key) {
-                run.told = Some(traits.clone());
+                run.sent_traits = Some(traits.clone());
             }
             self.outbox.push((instance.to_string(), NodeOrder::Describe(traits)));
         }
--- a/src/workflow/planner_rounds.rs
+++ b/src/workflow/planner_rounds.rs
@@ -7,9 +7,7 @@
 use crate::ids::InstanceId;
 use crate::ids::JobId;
 use crate::ids::RunNumber;
-use crate::workflow::advice_book::StepKey;
-use crate::workflow::hopeless_needs::HopelessNeeds;
-use crate::workflow::job_outlook::JobOutlook;
+use crate::workflow::advice_cache::StepKey;
 use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::PlacementView;
 use crate::workflow::placement::RiskLimit;
@@ -17,9 +15,11 @@
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 use crate::workflow::planner_jobs::JobEntry;
+use crate::workflow::remaining_work::RemainingWork;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::task_progress::RunAttempt;
+use crate::workflow::unplaceable_requests::UnplaceableRequests;
 use crate::workflow::urgency::JobUrgency;
 use crate::workflow::worker_entry::WorkerEntry;
 
@@ -48,8 +48,8 @@
     /// assert_eq!(planner.plan(), 0);
     /// ```
     pub fn plan(&mut self) -> usize {
-        for entry in self.jobs.values_mut().filter(|entry| entry.outlook.is_none()) {
-            entry.outlook = Some(JobOutlook::of(entry));
+        for entry in self.jobs.values_mut().filter(|entry| entry.remaining_work.is_none()) {
+            entry.remaining_work = Some(RemainingWork::of(entry));
         }
         let open = self.jobs.iter().filter(|(_, entry)| entry.end.is_none());
         let mut order: Vec<(JobUrgency<'_>, &JobId)> =
@@ -57,7 +57,7 @@
         order.sort();
         let jobs: Vec<JobId> = order.into_iter().map(|(_, job)| job.clone()).collect();
         let reserved = self.inventory.reserved_tasks(self.now);
-        let mut unplaceable = HopelessNeeds::default();
+        let mut unplaceable = UnplaceableRequests::default();
         let isolated = self.start_isolated();
         let others = jobs.iter().map(|job| self.plan_job(job, &reserved, &mut unplaceable));
         isolated + others.sum::<usize>()
@@ -67,7 +67,7 @@
         &mut self,
         job: &str,
         reserved: &HashSet<TaskName>,
-        unplaceable: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> usize {
         let mut started = 0;
         for (occurrence, step) in self.ready_steps(job) {
@@ -117,7 +117,7 @@
         };
         let open = self.inventory.iter().filter(|(_, worker)| may_run(worker));
         let workers = open.map(|(instance, _)| instance.clone()).collect();
-        self.questions.extend(self.advice.ask(step, workers, self.now));
+        self.advice_queries.extend(self.advice.next_query(step, workers, self.now));
     }
 
     /// Steps that are ready to run, as pairs of occurrence and step number.
@@ -176,7 +176,7 @@
         &mut self,
         names: impl Iterator<Item = TaskName>,
         spec: &StepSpec,
-        unplaceable: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> usize {
         let mut started = 0;
         for name in names {
@@ -213,7 +213,7 @@
 
     fn start_gang_on(&mut self, names: &[TaskName], spec: &StepSpec, rack: Option<&str>) -> usize {
         let is_isolated = names.iter().any(|name| self.task_suspicion.is_isolated(name));
-        if is_isolated && !self.may_isolate() {
+        if is_isolated && !self.may_start_isolated() {
             return 0;
         }
         let run = names.iter().map(|name| self.last_run(name)).max().unwrap_or(0) + 1;
@@ -278,7 +278,7 @@
                 .inventory
                 .get(&attempt.worker)
                 .and_then(|worker| worker.assigned.get(&(name.clone(), attempt.run)));
-            let age = run.map(|run| self.now.saturating_duration_since(run.since));
+            let age = run.map(|run| self.now.saturating_duration_since(run.assigned_at));
             let is_suspected = !self.task_suspicion.crashes(&name).is_empty();
             if age.is_some_and(|age| age > limit) && !task.done && !is_suspected {
                 slow.push((name, attempt.worker.clone()));
@@ -303,7 +303,7 @@
         &self,
         name: &TaskName,
         spec: &StepSpec,
-        unplaceable: &mut HopelessNeeds,
+        unplaceable: &mut UnplaceableRequests,
     ) -> Option<InstanceId> {
         let request = self.placement_request(name, spec, None, None)?;
         if unplaceable.covers(&request) {
@@ -344,7 +344,7 @@
         PlacementView {
             inventory: &self.inventory,
             suspicion: &self.suspicion,
-            disturbance: &self.disturbance,
+            interference: &self.interference,
             advice: &self.advice,
             being_emptied: self.consolidation.being_emptied(),
             now: self.now,
--- a/src/workflow/serving_layout.rs
+++ b/src/workflow/serving_layout.rs
@@ -6,7 +6,7 @@
 
 use crate::ids::InstanceId;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::worker_entry::WorkerEntry;
 use crate::workflow::worker_inventory::RunKey;
 use crate::workflow::worker_inventory::WorkerInventory;
@@ -24,7 +24,7 @@
     /// Number of serving tasks by job.
     jobs: BTreeMap<String, usize>,
     /// Allocatable capacity that long-running tasks leave free; all other tasks end within seconds.
-    pub long_term_free: RoomAmount,
+    pub long_term_free: ResourceVector,
 }
 
 impl WorkerLayout {
@@ -119,10 +119,10 @@
 }
 
 /// Allocatable capacity of a worker that long-running tasks leave free.
-pub(crate) fn long_term_free(worker: &WorkerEntry) -> RoomAmount {
+pub(crate) fn long_term_free(worker: &WorkerEntry) -> ResourceVector {
     let capacity = worker.status.as_ref().map(|status| status.capacity).unwrap_or_default();
     let long_running = worker.assigned.values().filter(|run| run.long_running);
-    long_running.fold(capacity, |free, run| free.minus(&run.counted))
+    long_running.fold(capacity, |free, run| free.minus(&run.reserved))
 }
 
 fn best_effort_beside(jobs: usize) -> f64 {
--- a/src/workflow/hopeless_needs.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -7,24 +7,24 @@
 use crate::ids::ServiceName;
 use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::RiskLimit;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 
 /// What was not found in a round.
 #[derive(Debug, Default)]
-pub(crate) struct HopelessNeeds {
-    known: Vec<HopelessNeed>,
+pub(crate) struct UnplaceableRequests {
+    known: Vec<UnplaceableRequest>,
 }
 
 #[derive(Debug)]
-struct HopelessNeed {
+struct UnplaceableRequest {
     service: ServiceName,
     required_label: String,
     /// Of tasks that fill: their image, and how far they may go.
     filling: Option<(ImageName, RiskLimit)>,
-    room: RoomAmount,
+    resources: ResourceVector,
 }
 
-impl HopelessNeeds {
+impl UnplaceableRequests {
     /// Whether nothing will be found in this round.
     pub(crate) fn covers(&self, request: &PlacementRequest<'_>) -> bool {
         is_shared(request) && self.known.iter().any(|known| known.covers(request))
@@ -33,28 +33,28 @@
     /// Takes note that nothing was found.
     pub(crate) fn add(&mut self, request: &PlacementRequest<'_>) {
         if is_shared(request) {
-            self.known.push(HopelessNeed {
+            self.known.push(UnplaceableRequest {
                 service: request.service.to_string(),
                 required_label: request.step.required_label.clone(),
                 filling: filling_of(request).map(|(image, risk)| (image.to_string(), risk)),
-                room: request.step.room,
+                resources: request.step.resources,
             });
         }
     }
 }
 
-impl HopelessNeed {
+impl UnplaceableRequest {
     fn covers(&self, request: &PlacementRequest<'_>) -> bool {
         let filling = self.filling.as_ref().map(|(image, risk)| (image.as_str(), *risk));
         self.service == request.service
             && self.required_label == request.step.required_label
             && filling == filling_of(request)
-            && request.step.room.contains(&self.room)
+            && request.step.resources.contains(&self.resources)
     }
 }
 
 fn filling_of<'a>(request: &PlacementRequest<'a>) -> Option<(&'a str, RiskLimit)> {
-    request.step.fills.then_some((request.step.image.as_str(), request.risk))
+    request.step.best_effort.then_some((request.step.image.as_str(), request.risk))
 }
 
 /// Whether a need depends on nothing that is its task's alone.
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -7,9 +7,9 @@
 
 use crate::connection::node_protocol::RunnerStatus;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::EndedFill;
-use crate::workflow::room_hold::RoomHolds;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::assigned_run::EndedBestEffortRun;
+use crate::workflow::reservation::Reservations;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_inventory::RunKey;
 
@@ -47,20 +47,20 @@
     /// planner knows.
     pub best_effort_changed: Option<Instant>,
     /// Best-effort runs that ended within [`ENDED_KEPT`].
-    pub ended_fills: Vec<EndedFill>,
+    pub ended_best_effort: Vec<EndedBestEffortRun>,
     /// When changed traits of its runs were last sent to its agent.
     pub traits_sent_at: Option<Instant>,
     /// Whether its runs have to be compared with those that its agent reports, because the link is
     /// new.
     pub resync: bool,
     /// Capacity reserved for tasks that are being moved here.
-    pub holds: RoomHolds,
+    pub reservations: Reservations,
     /// Whether the instance has ended. Runs that are still assigned to it may be started by its
     /// successor.
     pub has_ended: bool,
     /// Run of a task that is suspected of crashing its workers; no other task starts beside it.
     pub isolated: Option<RunKey>,
-    pub(crate) used: RoomAmount,
+    pub(crate) used: ResourceVector,
 }
 
 impl WorkerEntry {
@@ -72,13 +72,13 @@
             last_contact: None,
             full_until: None,
             best_effort_changed: None,
-            ended_fills: Vec::new(),
+            ended_best_effort: Vec::new(),
             traits_sent_at: None,
             resync: true,
-            holds: RoomHolds::default(),
+            reservations: Reservations::default(),
             has_ended: false,
             isolated: None,
-            used: RoomAmount::default(),
+            used: ResourceVector::default(),
         }
     }
 
@@ -91,7 +91,7 @@
     /// let entry = inventory.entry("i-1", Instant::now());
     /// assert_eq!(entry.free_resources().millicores, 0);
     /// ```
-    pub fn free_resources(&self) -> RoomAmount {
+    pub fn free_resources(&self) -> ResourceVector {
         self.status.as_ref().map(|status| status.capacity.minus(&self.used)).unwrap_or_default()
     }
 
@@ -105,8 +105,8 @@
     /// let room = inventory.entry("i-1", Instant::now()).available_to(&"a.0.0.0".parse().unwrap(), Instant::now());
     /// assert_eq!(room.millicores, 0);
     /// ```
-    pub fn available_to(&self, task: &TaskName, now: Instant) -> RoomAmount {
-        self.holds.leave(self.free_resources(), task, now)
+    pub fn available_to(&self, task: &TaskName, now: Instant) -> ResourceVector {
+        self.reservations.available_to(self.free_resources(), task, now)
     }
 
     /// Returns whether it accepts new runs at `now`.
@@ -143,7 +143,7 @@
             let share = if run.target_ms > 0 { SERVING_UTILIZATION } else { 1.0 };
             run.millicores as f64 * share
         };
-        let others = self.assigned.values().filter(|run| !run.fills);
+        let others = self.assigned.values().filter(|run| !run.best_effort);
         let used: f64 = others.map(usage).sum();
         (status.capacity.millicores as f64 - used).max(0.0)
     }
@@ -157,9 +157,9 @@
     /// assert_eq!(inventory.entry("i-1", Instant::now()).best_effort_demand(), 0.0);
     /// ```
     pub fn best_effort_demand(&self) -> f64 {
-        let best_effort = self.assigned.values().filter(|run| run.fills);
+        let best_effort = self.assigned.values().filter(|run| run.best_effort);
         let share = |run: &AssignedRun| {
-            let pace = run.seen.as_ref().map_or(100, |report| report.pace_percent);
+            let pace = run.last_report.as_ref().map_or(100, |report| report.pace_percent);
             f64::from(pace) / 100.0
         };
         best_effort.map(|run| run.millicores as f64 * share(run).max(MIN_ASSUMED_PACE)).sum()
@@ -176,8 +176,8 @@
     /// ```
     pub fn is_saturated(&self) -> bool {
         let (mut wanted, mut working) = (0.0, 0.0);
-        for run in self.assigned.values().filter(|run| run.fills) {
-            let pace = run.seen.as_ref().map_or(100, |report| report.pace_percent);
+        for run in self.assigned.values().filter(|run| run.best_effort) {
+            let pace = run.last_report.as_ref().map_or(100, |report| report.pace_percent);
             wanted += run.millicores as f64;
             working += run.millicores as f64 * f64::from(pace) / 100.0;
         }
@@ -219,7 +219,7 @@
     /// assert_eq!(inventory.entry("i-1", Instant::now()).last_assigned_at(), None);
     /// ```
     pub fn last_assigned_at(&self) -> Option<Instant> {
-        self.assigned.values().map(|run| run.since).max()
+        self.assigned.values().map(|run| run.assigned_at).max()
     }
 
     /// Returns whether a serving task of an image is assigned to it.
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -8,7 +8,7 @@
 use crate::ids::InstanceId;
 use crate::ids::RunNumber;
 use crate::workflow::assigned_run::AssignedRun;
-use crate::workflow::assigned_run::EndedFill;
+use crate::workflow::assigned_run::EndedBestEffortRun;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_entry::ENDED_RETENTION;
@@ -80,7 +80,7 @@
     /// assert!(inventory.reserved_tasks(Instant::now()).is_empty());
     /// ```
     pub fn reserved_tasks(&self, now: Instant) -> HashSet<TaskName> {
-        self.workers.values().flat_map(|worker| worker.holds.tasks(now)).cloned().collect()
+        self.workers.values().flat_map(|worker| worker.reservations.tasks(now)).cloned().collect()
     }
 
     /// Assigns a run to a worker.
@@ -105,26 +105,26 @@
     ) {
         let worker = self.entry(instance, lease_end);
         let run = AssignedRun {
-            counted: step.counted_room(),
-            millicores: step.room.millicores,
-            fills: step.fills,
+            reserved: step.reserved_resources(),
+            millicores: step.resources.millicores,
+            best_effort: step.best_effort,
             image: step.image.clone(),
             target_ms: step.target_ms,
             checkpoints: step.checkpoints,
             long_running: step.long_running,
             order: None,
-            since: now,
-            seen: None,
-            seen_since: None,
-            begun_since: None,
-            told: None,
-            slow_since: None,
+            assigned_at: now,
+            last_report: None,
+            first_reported_at: None,
+            begun_at: None,
+            sent_traits: None,
+            throttled_since: None,
             stopping: false,
-            work: None,
+            progress: None,
         };
-        worker.used = worker.used.plus(&run.counted);
-        worker.holds.drop_for(&key.0);
-        if run.fills {
+        worker.used = worker.used.plus(&run.reserved);
+        worker.reservations.release(&key.0);
+        if run.best_effort {
             worker.best_effort_changed = Some(now);
         }
         worker.assigned.insert(key, run);
@@ -141,19 +141,21 @@
         let worker = self.workers.get_mut(instance)?;
         let run = worker.assigned.remove(key)?;
         worker.isolated.take_if(|isolated| isolated == key);
-        if run.fills {
+        if run.best_effort {
             worker.best_effort_changed = Some(now);
             worker
-                .ended_fills
-                .retain(|ended| now.saturating_duration_since(ended.end) < ENDED_RETENTION);
-            worker.ended_fills.extend(run.seen_since.map(|begin| EndedFill {
-                image: run.image.clone(),
-                begin,
-                end: now,
-                percent: run.seen.as_ref().map_or(0, |report| report.pace_percent),
+                .ended_best_effort
+                .retain(|ended| now.saturating_duration_since(ended.ended_at) < ENDED_RETENTION);
+            worker.ended_best_effort.extend(run.first_reported_at.map(|started_at| {
+                EndedBestEffortRun {
+                    image: run.image.clone(),
+                    started_at,
+                    ended_at: now,
+                    pace_percent: run.last_report.as_ref().map_or(0, |report| report.pace_percent),
+                }
             }));
         }
-        worker.used = worker.used.minus(&run.counted);
+        worker.used = worker.used.minus(&run.reserved);
         Some(run)
     }
 
@@ -180,10 +182,10 @@
         let Some(mut run) = before.assigned.remove(key) else {
             return false;
         };
-        before.used = before.used.minus(&run.counted);
+        before.used = before.used.minus(&run.reserved);
         let was_stopping = std::mem::replace(&mut run.stopping, false);
         if let Some(worker) = self.workers.get_mut(to) {
-            worker.used = worker.used.plus(&run.counted);
+            worker.used = worker.used.plus(&run.reserved);
             worker.assigned.insert(key.clone(), run);
         }
         was_stopping
--- a/standins/src/laboratory/shared_worker.rs
+++ b/standins/src/laboratory/shared_worker.rs
@@ -9,13 +9,13 @@
 use greengagearch::connection::node_protocol::EndedRun;
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
-use greengagearch::workflow::pacing::PaceControl;
+use greengagearch::workflow::pacing::PaceController;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use greengagearch::workflow::worker_inventory::RunKey;
 use rand::RngExt;
@@ -94,9 +94,9 @@
 #[derive(Clone, Debug)]
 pub struct SharedWorker {
     name: String,
-    room: RoomAmount,
+    room: ResourceVector,
     runs: BTreeMap<RunKey, WorkerRun>,
-    control: PaceControl,
+    control: PaceController,
     traits: HashMap<TaskName, TaskTraits>,
     ended: Vec<EndedRun>,
     ends: u64,
@@ -110,18 +110,18 @@
     /// A worker on which nothing runs; its agent looks first at `look_due`.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     /// use greengagearch_standins::laboratory::shared_worker::SharedWorker;
     ///
-    /// let worker = SharedWorker::open("w-1", RoomAmount::default(), std::time::Duration::ZERO);
+    /// let worker = SharedWorker::open("w-1", ResourceVector::default(), std::time::Duration::ZERO);
     /// assert_eq!(worker.tally.filled, 0.0);
     /// ```
-    pub fn open(name: &str, room: RoomAmount, look_due: Duration) -> SharedWorker {
+    pub fn open(name: &str, room: ResourceVector, look_due: Duration) -> SharedWorker {
         SharedWorker {
             name: name.to_string(),
             room,
             runs: BTreeMap::new(),
-            control: PaceControl::default(),
+            control: PaceController::default(),
             traits: HashMap::new(),
             ended: Vec::new(),
             ends: 0,
@@ -252,15 +252,15 @@
         self.traits.retain(|task, _| self.runs.keys().any(|key| key.0 == *task));
         let mut present: Vec<PresentRun> =
             self.runs.iter().map(|(key, run)| seen(key, run, rng)).collect();
-        for step in self.control.look(&present, &self.traits, at) {
+        for step in self.control.update(&present, &self.traits, at) {
             if let Some(run) = self.runs.get_mut(&step.key) {
                 run.ordered.push_back((now + PACE_LAG, f64::from(step.percent) / 100.0));
             }
         }
         for run in &mut present {
             let key = (run.task.clone(), run.run);
-            run.pace_percent = self.control.ordered(&key);
-            run.measured_percent = self.control.measured(&key, at);
+            run.pace_percent = self.control.ordered_percent(&key);
+            run.measured_percent = self.control.mean_percent(&key, at);
         }
         let status = RunnerStatus {
             instance: self.name.clone(),
@@ -270,7 +270,7 @@
             labels: LABELS.map(str::to_string).to_vec(),
             draining: false,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present,
             ended: std::mem::take(&mut self.ended),
             rejected: Vec::new(),
@@ -282,7 +282,7 @@
             former: Vec::new(),
             unsettled: Vec::new(),
             crashes: Vec::new(),
-            look: Some(look),
+            snapshot: Some(look),
         })
     }
 }
--- a/standins/src/local_platform.rs
+++ b/standins/src/local_platform.rs
@@ -9,12 +9,12 @@
 use greengagearch::platform::store_client::StoreClient;
 use greengagearch::process::node::NodeProcess;
 use greengagearch::process::planning::PlannerProcess;
-use greengagearch::process::planning::job_http::JobAnswer;
 use greengagearch::process::planning::job_http::JobRequest;
+use greengagearch::process::planning::job_http::JobResponse;
 use greengagearch::process::planning::settings::NodeSettings;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::stop_signal::StopSignal;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 
 use crate::platform_cluster::queue_configuration;
@@ -110,10 +110,10 @@
 
 /// A job of two steps: three tasks, and one after them.
 pub fn example_job(id: &str) -> JobRequest {
-    let room = RoomAmount { millicores: 300, memory_mib: 100, accelerators: 0 };
+    let resources = ResourceVector { millicores: 300, memory_mib: 100, accelerators: 0 };
     let step = |count: u32, after: Vec<usize>| StepSpec {
         count,
-        room,
+        resources,
         estimate_ms: 100,
         after,
         ..StepSpec::default()
@@ -131,7 +131,7 @@
 
 async fn state_of(client: &reqwest::Client, url: &str) -> Option<String> {
     let answer = client.get(url).send().await.ok()?;
-    answer.json::<JobAnswer>().await.ok()?.state
+    answer.json::<JobResponse>().await.ok()?.state
 }
 
 fn planner_settings(store: &str) -> Result<PlannerSettings, Error> {
--- a/tests/doubtful_starts.rs
+++ b/tests/doubtful_starts.rs
@@ -9,25 +9,25 @@
 use greengagearch::connection::node_protocol::LinkStamp;
 use greengagearch::connection::node_protocol::PresentRun;
 use greengagearch::connection::node_protocol::RejectReason;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::external::runner_control::RunnerError;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::node::pending_start::StartStep;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::worker_inventory::RunKey;
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
 use crate::linked_agent::look_at;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 use crate::linked_agent::start_order;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
 const TASK: &str = "a.0.0.0";
-const ROOM: RoomAmount = RoomAmount { millicores: 400, memory_mib: 100, accelerators: 0 };
+const ROOM: ResourceVector = ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 };
 
 /// An agent with a runner, a planner, a lease and one order to start.
 struct Agent {
@@ -50,13 +50,13 @@
 
     fn order(&mut self, is_repeat: bool) {
         let order = start_order(plain_traits(TASK, ROOM), is_repeat);
-        assert!(self.state.begin_start(&order, self.now));
+        assert!(self.state.accept_start(&order, self.now));
     }
 
     fn beat(&mut self, sequence: u64, draining: bool) {
-        let mut runner = known_runner(1_000, 1_000, sequence);
+        let mut runner = registered_runner(1_000, 1_000, sequence);
         runner.status.draining = draining;
-        self.state.on_beat(runner);
+        self.state.on_heartbeat(runner);
     }
 
     fn target(&self) -> RunnerTarget {
@@ -70,15 +70,15 @@
     /// Sends a try, which is answered so.
     fn try_start(&mut self, answer: Result<(), RunnerError>) {
         let target = self.target();
-        let sent = self.state.begin_try(&target, &self.key, &ROOM, self.now);
+        let sent = self.state.begin_attempt(&target, &self.key, &ROOM, self.now);
         assert!(sent.is_some(), "nothing speaks against the start");
-        self.state.on_start_answer(&target, &self.key, &answer, self.now);
+        self.state.on_start_response(&target, &self.key, &answer, self.now);
     }
 
     fn try_stop(&mut self, answer: Result<(), RunnerError>) {
         let target = self.target();
         assert!(self.is_stop_due());
-        self.state.on_stop_answer(&target, &self.key, &answer);
+        self.state.on_stop_response(&target, &self.key, &answer);
     }
 
     fn is_stop_due(&self) -> bool {
@@ -86,9 +86,9 @@
     }
 
     /// A look that shows these runs, and what the planner is told of it.
-    fn look(&mut self, running: Vec<PresentRun>) -> RunnerLook {
+    fn look(&mut self, running: Vec<PresentRun>) -> RunnerSnapshot {
         look_at(&mut self.state, running, 0, self.now);
-        self.state.report(self.now).look.unwrap()
+        self.state.report(self.now).snapshot.unwrap()
     }
 }
 
@@ -127,7 +127,7 @@
 fn a_refused_first_try_is_told_with_the_next_look() {
     let mut agent = Agent::with_start(false);
     agent.try_start(refusal(RejectReason::Unwell));
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Unwell)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Unwell)));
     assert!(!agent.is_stop_due());
     let look = agent.look(Vec::new());
     assert_eq!((look.present.len(), look.rejected.len()), (0, 1));
@@ -140,7 +140,7 @@
     agent.try_start(refusal(RejectReason::Unwell));
     assert_eq!(agent.look(Vec::new()).rejected.len(), 1);
     agent.order(true);
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Unwell)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Unwell)));
     assert_eq!(agent.look(Vec::new()).rejected.len(), 1);
 }
 
@@ -154,7 +154,7 @@
     let look = agent.look(vec![begun]);
     assert_eq!((look.present.len(), look.rejected.len()), (1, 0));
     agent.now += Duration::from_secs(2);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
     assert!(!agent.is_stop_due());
 }
 
@@ -166,12 +166,12 @@
     let begun = begun_run(TASK);
     agent.look(vec![begun.clone()]);
     let key = agent.key.clone();
-    assert!(agent.state.begin_stop(&key));
+    assert!(agent.state.accept_stop(&key));
     agent.try_stop(refusal(RejectReason::Unwell));
     agent.try_stop(Err(RunnerError::Fenced));
     agent.look(vec![begun]);
     assert!(agent.is_stop_due());
-    assert!(!agent.state.begin_stop(&key), "it is still being sent");
+    assert!(!agent.state.accept_stop(&key), "it is still being sent");
     agent.try_stop(Ok(()));
     assert!(!agent.is_stop_due());
 }
@@ -182,11 +182,11 @@
     let mut agent = Agent::with_start(false);
     assert_matches!(agent.next_step(), StartStep::Send);
     let key = agent.key.clone();
-    agent.state.begin_stop(&key);
+    agent.state.accept_stop(&key);
     agent.try_stop(Ok(()));
     let target = agent.target();
-    assert_eq!(agent.state.begin_try(&target, &key, &ROOM, agent.now), None);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    assert_eq!(agent.state.begin_attempt(&target, &key, &ROOM, agent.now), None);
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
 }
 
 /// Guards against a task that runs twice: a stop that the runner has not taken does not rule out that a late start begins.
@@ -195,8 +195,8 @@
     let mut agent = Agent::with_start(false);
     agent.try_start(silence());
     let key = agent.key.clone();
-    agent.state.begin_stop(&key);
-    assert_eq!(agent.next_step(), StartStep::Over(None));
+    agent.state.accept_stop(&key);
+    assert_eq!(agent.next_step(), StartStep::Finished(None));
     assert_eq!(agent.look(Vec::new()).present.len(), 1);
     agent.try_stop(silence());
     assert_eq!(agent.look(Vec::new()).present.len(), 1);
@@ -227,7 +227,7 @@
     let mut agent = Agent::with_start(false);
     agent.try_start(silence());
     agent.try_start(refusal(RejectReason::Old));
-    assert_eq!(agent.next_step(), StartStep::Over(Some(RejectReason::Old)));
+    assert_eq!(agent.next_step(), StartStep::Finished(Some(RejectReason::Old)));
     let look = agent.look(Vec::new());
     assert_eq!((look.present.len(), look.rejected.len()), (0, 1));
 }
--- a/tests/node_link.rs
+++ b/tests/node_link.rs
@@ -15,12 +15,12 @@
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::rpc_client::framed;
 use greengagearch::platform::store_client::StoreClient;
-use greengagearch::process::planning::node_link::LinkNews;
+use greengagearch::process::planning::node_link::LinkEvent;
 use greengagearch::process::planning::node_link::NodeLink;
-use greengagearch::process::planning::node_link::OrderParcel;
+use greengagearch::process::planning::node_link::OrderBatch;
 use greengagearch::process::planning::settings::PlannerSettings;
 use greengagearch::process::planning::shared::PlannerShared;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use tarpc::context::Context;
 use tarpc::server::BaseChannel;
 use tarpc::server::Channel;
@@ -45,7 +45,7 @@
             instance: "i".to_string(),
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount::default(),
+            capacity: ResourceVector::default(),
             labels: Vec::new(),
             draining: false,
         };
@@ -56,7 +56,7 @@
             former: Vec::new(),
             unsettled: Vec::new(),
             crashes: Vec::new(),
-            look: None,
+            snapshot: None,
         })
     }
 
@@ -80,7 +80,7 @@
     address
 }
 
-async fn spawn_link() -> (NodeLink, mpsc::UnboundedReceiver<LinkNews>) {
+async fn spawn_link() -> (NodeLink, mpsc::UnboundedReceiver<LinkEvent>) {
     let settings = PlannerSettings::parse("planner.ini", SETTINGS).unwrap();
     let store = Arc::new(StoreClient::open("127.0.0.1:1"));
     let shared = Arc::new(PlannerShared::new(settings, store, None));
@@ -89,9 +89,9 @@
 }
 
 /// Whether the next report is told to come over a new link, and whether it names a runner.
-async fn next_report(news: &mut mpsc::UnboundedReceiver<LinkNews>) -> (bool, bool) {
+async fn next_report(news: &mut mpsc::UnboundedReceiver<LinkEvent>) -> (bool, bool) {
     match news.recv().await {
-        Some(LinkNews::Report { is_new_link, report, .. }) => {
+        Some(LinkEvent::Report { is_new_link, report, .. }) => {
             (is_new_link, report.runner.is_some())
         }
         other => panic!("{other:?}"),
@@ -112,7 +112,7 @@
 async fn a_link_over_which_an_order_was_lost_begins_anew() {
     let (link, mut news) = spawn_link().await;
     while next_report(&mut news).await.0 {}
-    let parcel = OrderParcel { instance: "i".to_string(), number: 1, orders: Vec::new() };
+    let parcel = OrderBatch { instance: "i".to_string(), number: 1, orders: Vec::new() };
     link.orders.send(parcel).unwrap();
     let anew = async { while !next_report(&mut news).await.0 {} };
     let limit = Duration::from_secs(60);
--- a/tests/planner_steps.rs
+++ b/tests/planner_steps.rs
@@ -116,7 +116,7 @@
     let serving = StepSpec { long_running: true, target_ms: 50, ..step(1, 500) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(2, 3_900) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(2, 3_900) };
     fleet.submit("a", job(vec![fill]));
     (0..20).for_each(|_| fleet.round());
     assert!(fleet.running().iter().any(|(_, key)| key.0.job == "a"));
@@ -130,7 +130,7 @@
     fleet.submit("a", advised);
     fleet.round();
     assert!(fleet.running().is_empty(), "nothing starts without advice");
-    let questions = fleet.planner.take_questions();
+    let questions = fleet.planner.take_advice_queries();
     assert_eq!(questions.len(), 1);
     assert_eq!(questions[0].workers, ["i-1", "i-2"]);
     let allowed = vec![("i-2".to_string(), "t".to_string())];
@@ -151,7 +151,7 @@
     advised.policy.advice = Some(AdvicePolicy { decide_ms: 10, each_ms: 1, valid_ms: 500 });
     fleet.submit("a", advised);
     fleet.round();
-    fleet.planner.take_questions();
+    fleet.planner.take_advice_queries();
     let asked_at = fleet.now();
     fleet.pass(Duration::from_millis(300));
     fleet.report_all();
@@ -159,7 +159,7 @@
     fleet.planner.on_advice(Some((allowed, Duration::from_millis(500))), asked_at);
     fleet.round();
     assert!(fleet.running().is_empty());
-    assert_eq!(fleet.planner.take_questions().len(), 1);
+    assert_eq!(fleet.planner.take_advice_queries().len(), 1);
 }
 
 #[test]
@@ -223,7 +223,7 @@
     let mut fleet = PlannedFleet::new(&["i-1"]);
     let serving =
         StepSpec { long_running: true, target_ms: 50, image: "s".to_string(), ..step(1, 500) };
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(1, 3_000) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(1, 3_000) };
     fleet.submit("s", job(vec![serving]));
     fleet.round();
     fleet.submit("a", job(vec![fill]));
@@ -235,7 +235,7 @@
     }
     let learned = fleet.planner.learned();
     assert_eq!(learned.pairs.len(), 1);
-    assert_eq!(learned.least_tails.len(), 1);
+    assert_eq!(learned.min_tails.len(), 1);
     let known = fleet.planner.learned_summary();
     let stored = serde_json::to_vec(&learned).unwrap();
     fleet.take_over(fleet.now());
@@ -281,7 +281,7 @@
 #[test]
 fn a_planner_that_takes_over_tries_unseen_pairs_at_once() {
     let mut fleet = taken_over_while_serving();
-    let fill = StepSpec { fills: true, image: "f".to_string(), ..step(1, 1_000) };
+    let fill = StepSpec { best_effort: true, image: "f".to_string(), ..step(1, 1_000) };
     fleet.submit("a", job(vec![fill]));
     fleet.round();
     assert!(fleet.running().iter().any(|(_, key)| key.0.job == "a"));
--- a/tests/planning_world/runner.rs
+++ b/tests/planning_world/runner.rs
@@ -4,7 +4,7 @@
 
 use greengagearch::connection::node_protocol::EndedRun;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::external::runner_control::RunnerLists;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::workflow::progress::RunEnd;
 use greengagearch::workflow::task_name::TaskName;
 use greengagearch::workflow::worker_inventory::RunKey;
@@ -114,7 +114,7 @@
 }
 
 /// Longest lease; longer ones are shortened.
-const LONGEST_LEASE: u64 = 10_000;
+const MAX_LEASE: u64 = 10_000;
 
 /// What a runner answers to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -270,7 +270,7 @@
         seen: u64,
         now: u64,
         audit: &mut RunAudit,
-    ) -> Option<RunnerLists> {
+    ) -> Option<PollResponse> {
         if self.is_fenced(fence) {
             return None;
         }
@@ -284,18 +284,18 @@
     }
 
     /// What a look shows.
-    pub fn lists(&self, now: u64) -> RunnerLists {
+    pub fn lists(&self, now: u64) -> PollResponse {
         let shown = |key: &RunKey| PresentRun {
             is_begun: true,
             ..PresentRun::ordered(key.0.clone(), key.1)
         };
         let running = self.running.keys().map(shown).collect();
-        RunnerLists { clock: self.clock(now), running, ended: self.ended.clone() }
+        PollResponse { clock: self.clock(now), running, ended: self.ended.clone() }
     }
 
     /// Takes a longer lease, up to the longest that there is.
     fn extend(&mut self, until: u64, now: u64) {
-        self.until = self.until.max(until.min(self.clock(now) + LONGEST_LEASE));
+        self.until = self.until.max(until.min(self.clock(now) + MAX_LEASE));
     }
 
     pub fn is_idle(&self) -> bool {
--- a/tests/shrunk_capacity.rs
+++ b/tests/shrunk_capacity.rs
@@ -18,27 +18,27 @@
 use greengagearch::connection::node_protocol::RejectedRun;
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollRequest;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerControl;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerHold;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerMillis;
 use greengagearch::external::runner_control::RunnerTarget;
 use greengagearch::process::clock;
-use greengagearch::process::node::known_runner::KnownRunner;
-use greengagearch::process::node::orders::take_orders;
+use greengagearch::process::node::order_sender::accept_orders;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::shared::NodeShared;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::task_name::TaskName;
 use tokio::time::timeout;
 
 use crate::linked_agent::LONG_LEASE;
 use crate::linked_agent::begun_run;
-use crate::linked_agent::known_runner;
 use crate::linked_agent::lease_call;
 use crate::linked_agent::look_at;
 use crate::linked_agent::plain_traits;
+use crate::linked_agent::registered_runner;
 use crate::linked_agent::start_order;
 
 /// Pause between two looks, and the longest wait for what has to come.
@@ -78,17 +78,17 @@
         Ok(())
     }
 
-    async fn hold(&self, _: &RunnerTarget, _: RunnerHold) -> Result<RunnerLists, RunnerError> {
-        Ok(RunnerLists { clock: 0, running: Vec::new(), ended: Vec::new() })
+    async fn poll(&self, _: &RunnerTarget, _: PollRequest) -> Result<PollResponse, RunnerError> {
+        Ok(PollResponse { clock: 0, running: Vec::new(), ended: Vec::new() })
     }
 }
 
-fn runner(millicores: u64, sequence: u64) -> KnownRunner {
-    known_runner(millicores, 4_000, sequence)
+fn runner(millicores: u64, sequence: u64) -> RegisteredRunner {
+    registered_runner(millicores, 4_000, sequence)
 }
 
 fn traits(task: &str, millicores: u64) -> TaskTraits {
-    plain_traits(task, RoomAmount { millicores, memory_mib: 100, accelerators: 0 })
+    plain_traits(task, ResourceVector { millicores, memory_mib: 100, accelerators: 0 })
 }
 
 fn start(number: u64, task: &str, millicores: u64) -> OrderCall {
@@ -106,7 +106,7 @@
 fn linked(control: Arc<UnguardedRunner>, now: Instant) -> Arc<NodeShared> {
     let shared = Arc::new(NodeShared::new(control));
     let mut state = shared.state();
-    state.on_beat(runner(4_000, 1));
+    state.on_heartbeat(runner(4_000, 1));
     state.admit(STAMP).unwrap();
     state.traits.insert("a.0.0.0".parse().unwrap(), traits("a.0.0.0", 2_000));
     look(&mut state, now);
@@ -126,7 +126,7 @@
             let now = clock::now();
             let mut state = shared.state();
             look(&mut state, now);
-            let told = state.report(now).look.unwrap();
+            let told = state.report(now).snapshot.unwrap();
             if let Some(refused) = told.rejected.into_iter().next() {
                 return refused;
             }
@@ -139,14 +139,14 @@
 async fn a_start_beyond_a_capacity_that_has_shrunk_is_refused_by_the_agent() {
     let control = Arc::new(UnguardedRunner::default());
     let shared = linked(control.clone(), clock::now());
-    take_orders(&shared, start(1, "b.0.0.0", 1_000));
+    accept_orders(&shared, start(1, "b.0.0.0", 1_000));
     while control.started.lock().unwrap().is_empty() {
         tokio::time::sleep(POLL).await;
     }
 
     // The next start was decided before this heartbeat.
-    shared.state().on_beat(runner(2_500, 2));
-    take_orders(&shared, start(2, "c.0.0.0", 1_000));
+    shared.state().on_heartbeat(runner(2_500, 2));
+    accept_orders(&shared, start(2, "c.0.0.0", 1_000));
     let refused = timeout(LIMIT, next_refusal(&shared)).await.expect("a refusal");
     assert_eq!(refused.reason, RejectReason::Room);
     assert_eq!(refused.task.to_string(), "c.0.0.0");
