--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -219,7 +219,7 @@
     if !step.preferred_rack.is_empty() && !status.labels.contains(&step.preferred_rack) {
         cost += OFF_RACK_COST;
     }
-    if request.failed_on.iter().any(|avoided| avoided == instance) {
+    if request.failed_on.iter().any(|failed| failed == instance) {
         cost += FAILED_BEFORE_COST;
     }
     if step.long_running && view.being_emptied == Some(instance) {
@@ -256,9 +256,9 @@
     let requested = request.step.resources.millicores as f64;
     let demand = worker.best_effort_demand()
         + worker.reservations.best_effort_millicores(request.task, view.now);
-    let is_alone = demand == 0.0 && available > 0.0;
+    let is_unused = demand == 0.0 && available > 0.0;
     if available - demand < requested * MIN_BEST_EFFORT_SHARE
-        && !is_alone
+        && !is_unused
         && request.risk != RiskLimit::Any
     {
         return None;
--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -14,7 +14,7 @@
 pub enum MoveReason {
     /// The agent throttled it to protect serving tasks.
     HeldUp,
-    /// Its worker is leaving.
+    /// Its worker is draining.
     Leaving,
     /// Its worker is emptied of serving tasks.
     Emptied,
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -44,7 +44,7 @@
     pub(crate) wall_ms: u64,
     pub(crate) last_order_number: u64,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
-    pub(crate) ended: BTreeMap<JobId, EndedJob>,
+    pub(crate) ended_jobs: BTreeMap<JobId, EndedJob>,
     pub(crate) inventory: WorkerInventory,
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
@@ -78,7 +78,7 @@
             wall_ms: 0,
             last_order_number: 0,
             jobs: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            ended_jobs: BTreeMap::new(),
             inventory: WorkerInventory::default(),
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
@@ -123,7 +123,7 @@
     }
 
     /// Opens the occurrences that are due, gives up the runs of silent workers, and moves tasks
-    /// that are throttled, on leaving workers, or to be consolidated.
+    /// that are throttled, on draining workers, or to be consolidated.
     ///
     /// ```
     /// use std::time::Instant;
@@ -302,7 +302,7 @@
         }
     }
 
-    pub(crate) fn traits(&self, name: &TaskName) -> Option<TaskTraits> {
+    pub(crate) fn task_traits(&self, name: &TaskName) -> Option<TaskTraits> {
         let step = self.jobs.get(&name.job)?.step(name)?;
         Some(TaskTraits {
             task: name.clone(),
@@ -328,7 +328,7 @@
             payload: entry.spec.payload.clone(),
             checkpoint: task.checkpoint.clone(),
             ticket: self.advice.ticket(&key.0.step_key(), instance, self.now).map(str::to_string),
-            traits: self.traits(&key.0)?,
+            traits: self.task_traits(&key.0)?,
             is_repeat: false,
         })
     }
@@ -346,7 +346,7 @@
             return;
         };
         let keys = worker.assigned.keys().cloned();
-        let (kept, lost): (Vec<RunKey>, Vec<RunKey>) =
+        let (retained, lost): (Vec<RunKey>, Vec<RunKey>) =
             keys.partition(|key| unsettled.contains(key));
         if !worker.has_ended || !lost.is_empty() {
             let worker = instance.to_string();
@@ -356,7 +356,7 @@
         for key in lost {
             self.end_run(instance, &key, RunEnd::Lost, "");
         }
-        if kept.is_empty() {
+        if retained.is_empty() {
             self.inventory.remove(instance);
         } else if let Some(worker) = self.inventory.get_mut(instance) {
             worker.has_ended = true;
--- a/src/workflow/planner_batch.rs
+++ b/src/workflow/planner_batch.rs
@@ -192,7 +192,7 @@
     /// greengagearch::workflow::planner::Planner::new(Instant::now()).on_record_removed("a");
     /// ```
     pub fn on_record_removed(&mut self, job: &str) {
-        self.ended.remove(job);
+        self.ended_jobs.remove(job);
     }
 
     /// Returns how and when a job ended, if it has ended.
@@ -204,6 +204,6 @@
     /// assert!(planner.ended_job("a").is_none());
     /// ```
     pub fn ended_job(&self, job: &str) -> Option<EndedJob> {
-        self.ended.get(job).copied()
+        self.ended_jobs.get(job).copied()
     }
 }
--- a/src/workflow/planner_consolidation.rs
+++ b/src/workflow/planner_consolidation.rs
@@ -198,11 +198,11 @@
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
         let movable = candidates.into_iter().filter(|(_, _, key, _)| self.is_step_working(&key.0));
-        let each = movable.take(MAX_CANDIDATES).filter_map(|(gain, from, key, run)| {
+        let moves = movable.take(MAX_CANDIDATES).filter_map(|(gain, from, key, run)| {
             let (loss, to) = self.cheapest_destination(layout, from, key, run)?;
             Some(ServingMove { gain: gain - loss, from: from.clone(), key: key.clone(), to })
         });
-        let best = each.max_by(|a, b| a.gain.total_cmp(&b.gain));
+        let best = moves.max_by(|a, b| a.gain.total_cmp(&b.gain));
         best.filter(|best| best.gain >= MIN_GAIN)
     }
 
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -40,10 +40,10 @@
     /// that ends together with its runner cannot report which runs had started.
     pub(crate) fn on_unexplained_loss(&mut self, instance: &str) -> Option<TaskName> {
         let worker = self.inventory.get(instance).filter(|worker| !worker.has_ended)?;
-        let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
-        let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
+        let is_draining = worker.status.as_ref().is_some_and(|status| status.draining);
+        let (task, run) = worker.isolated.clone().filter(|_| !is_draining)?;
         let is_recorded =
-            self.task_suspicion.crashes(&task).iter().any(|one| one.instance == instance);
+            self.task_suspicion.crashes(&task).iter().any(|crash| crash.instance == instance);
         if is_recorded || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
@@ -102,9 +102,9 @@
         };
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
-            let proof = self.task_suspicion.clearing_age(task);
+            let clearing_age = self.task_suspicion.clearing_age(task);
             let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
-            if proof.is_some_and(|proof| age.is_some_and(|age| age >= proof)) {
+            if clearing_age.is_some_and(|clearing_age| age.is_some_and(|age| age >= clearing_age)) {
                 cleared.push(task.clone());
             }
         }
--- a/src/workflow/planner_jobs.rs
+++ b/src/workflow/planner_jobs.rs
@@ -41,7 +41,7 @@
     pub last_run_ms: u64,
     /// When runs of other jobs were last preempted for this job, in milliseconds since the Unix
     /// epoch.
-    pub preempted_ms: u64,
+    pub last_preemption_ms: u64,
     /// Estimates of how long the job's tasks take.
     pub forecast: JobForecast,
     /// Work that remains; `None` if it has to be computed again.
@@ -82,7 +82,7 @@
             end_stored: false,
             failed_on: HashMap::new(),
             next_occurrence: 0,
-            preempted_ms: 0,
+            last_preemption_ms: 0,
             forecast: JobForecast::default(),
             remaining_work: None,
         }
@@ -141,7 +141,7 @@
                 self.on_ended_record(job, version, end, ended_ms)
             }
             JobRecord::Live { spec, cancelled } => {
-                if self.ended.get(job).is_some_and(|ended| ended.version >= version) {
+                if self.ended_jobs.get(job).is_some_and(|ended| ended.version >= version) {
                     return;
                 }
                 let create = || JobEntry::new(spec, version);
@@ -163,7 +163,7 @@
     }
 
     fn on_ended_record(&mut self, job: &str, version: RowVersion, end: JobEnd, ended_ms: u64) {
-        self.ended.insert(job.to_string(), EndedJob { end, ended_ms, version });
+        self.ended_jobs.insert(job.to_string(), EndedJob { end, ended_ms, version });
         if let Some(entry) = self.jobs.get_mut(job) {
             entry.record_version = version.max(entry.record_version);
             entry.end = Some(end);
@@ -181,7 +181,7 @@
     /// planner.on_progress("unknown", 1, Default::default());
     /// ```
     pub fn on_progress(&mut self, job: &str, version: RowVersion, progress: JobProgress) {
-        if let Some(ended) = self.ended.get(job).copied() {
+        if let Some(ended) = self.ended_jobs.get(job).copied() {
             self.jobs.entry(job.to_string()).or_insert_with(|| {
                 let mut entry = JobEntry::new(WorkflowSpec::unknown(), ended.version);
                 entry.end = Some(ended.end);
@@ -299,7 +299,7 @@
     /// assert_eq!(planner.status("a"), None);
     /// ```
     pub fn status(&self, job: &str) -> Option<JobStatus> {
-        if let Some(ended) = self.ended.get(job) {
+        if let Some(ended) = self.ended_jobs.get(job) {
             return Some(JobStatus::Ended(ended.end));
         }
         let entry = self.jobs.get(job)?;
@@ -320,7 +320,7 @@
         let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
         let is_expired =
             |ended: &EndedJob| self.wall_ms.saturating_sub(ended.ended_ms) > retention_ms;
-        let expired = self.ended.iter().filter(|(_, ended)| is_expired(ended));
+        let expired = self.ended_jobs.iter().filter(|(_, ended)| is_expired(ended));
         expired.map(|(job, ended)| (job.clone(), ended.version)).collect()
     }
 }
--- a/src/workflow/planner_moves.rs
+++ b/src/workflow/planner_moves.rs
@@ -1,4 +1,4 @@
-//! Moves of tasks to other workers: throttled best-effort tasks, and tasks on leaving workers that
+//! Moves of tasks to other workers: throttled best-effort tasks, and tasks on draining workers that
 //! can continue elsewhere.
 
 use std::time::Duration;
@@ -17,7 +17,7 @@
 const MIN_THROTTLED_TIME: Duration = Duration::from_millis(1_000);
 /// Maximum age at which a task without checkpoints is moved, since little work is lost.
 const MAX_AGE_WITHOUT_CHECKPOINT: Duration = Duration::from_millis(700);
-/// Progress, in percent, from which a task on a leaving worker is left to complete there.
+/// Progress, in percent, from which a task on a draining worker is left to complete there.
 const NEARLY_DONE_PERCENT: u32 = 60;
 /// Maximum number of tasks moved in one tick, so that each destination is chosen with the earlier
 /// moves in view.
@@ -33,10 +33,10 @@
         self.move_runs(self.throttled_runs(), MoveReason::HeldUp);
     }
 
-    /// Moves tasks off leaving workers if they can continue elsewhere: long-running tasks, and
+    /// Moves tasks off draining workers if they can continue elsewhere: long-running tasks, and
     /// tasks with checkpoints that are far from complete.
     pub(crate) fn evacuate(&mut self) {
-        self.move_runs(self.leaving_runs(), MoveReason::Leaving);
+        self.move_runs(self.runs_on_draining_workers(), MoveReason::Leaving);
     }
 
     /// Moves the first few of the runs for which another worker has capacity.
@@ -69,7 +69,7 @@
         self.stop_run(from, key);
     }
 
-    fn leaving_runs(&self) -> Vec<(InstanceId, RunKey)> {
+    fn runs_on_draining_workers(&self) -> Vec<(InstanceId, RunKey)> {
         let mut runs = Vec::new();
         for (instance, worker) in self.inventory.iter() {
             if !worker.status.as_ref().is_some_and(|status| status.draining) {
--- a/src/workflow/planner_preemption.rs
+++ b/src/workflow/planner_preemption.rs
@@ -37,7 +37,7 @@
         };
         let is_early = self.wall_ms.saturating_sub(entry.last_run_ms) < MIN_WAIT_MS;
         let is_recent =
-            self.wall_ms.saturating_sub(entry.preempted_ms) < MIN_PREEMPTION_INTERVAL_MS;
+            self.wall_ms.saturating_sub(entry.last_preemption_ms) < MIN_PREEMPTION_INTERVAL_MS;
         if spec.best_effort || is_early || is_recent {
             return;
         }
@@ -45,7 +45,7 @@
             return;
         };
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            entry.preempted_ms = self.wall_ms;
+            entry.last_preemption_ms = self.wall_ms;
         }
         for key in cheapest.runs {
             self.decisions.push(PlanDecision::Preempted {
@@ -65,9 +65,9 @@
             .inventory
             .iter()
             .filter(|(instance, worker)| is_eligible(&request, &view, instance, worker));
-        let each =
+        let preemptions =
             fitting.filter_map(|(instance, worker)| self.preemption(name, spec, instance, worker));
-        each.min_by_key(|preemption| preemption.loss)
+        preemptions.min_by_key(|preemption| preemption.loss)
     }
 
     /// Selects the runs that would have to stop on a worker, cheapest first; `None` if stopping all
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -259,8 +259,8 @@
             self.decisions.push(PlanDecision::WorkerSuspected { worker, task });
         }
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            let place = (name.occurrence, name.step, name.index);
-            entry.failed_on.entry(place).or_default().push(instance.to_string());
+            let position = (name.occurrence, name.step, name.index);
+            entry.failed_on.entry(position).or_default().push(instance.to_string());
         }
     }
 
@@ -329,8 +329,9 @@
             return;
         };
         let reported = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
-        let traits: Vec<(RunKey, TaskTraits)> =
-            reported.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
+        let traits: Vec<(RunKey, TaskTraits)> = reported
+            .filter_map(|(key, _)| Some((key.clone(), self.task_traits(&key.0)?)))
+            .collect();
         let stopping: Vec<RunKey> = worker
             .assigned
             .iter()
@@ -356,7 +357,7 @@
         let relevant = reported.filter(|(_, run)| run.best_effort || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in relevant {
-            if let Some(traits) = self.traits(&key.0).filter(|new| has_changed(run, new)) {
+            if let Some(traits) = self.task_traits(&key.0).filter(|new| has_changed(run, new)) {
                 changed.push((key.clone(), traits));
             }
         }
--- a/src/workflow/worker_entry.rs
+++ b/src/workflow/worker_entry.rs
@@ -30,7 +30,7 @@
 /// measured, and the age of a report.
 pub const ENDED_RETENTION: Duration = Duration::from_millis(1_000);
 
-/// One instance of a runner.
+/// State of a worker during one instance of its runner.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
     /// Reported status; `None` until its agent has reported.
@@ -46,7 +46,7 @@
     /// When a best-effort run was last assigned, removed or changed in pace here, as far as this
     /// planner knows.
     pub best_effort_changed: Option<Instant>,
-    /// Best-effort runs that ended within [`ENDED_KEPT`].
+    /// Best-effort runs that ended within [`ENDED_RETENTION`].
     pub ended_best_effort: Vec<EndedBestEffortRun>,
     /// When changed traits of its runs were last sent to its agent.
     pub traits_sent_at: Option<Instant>,
@@ -118,12 +118,12 @@
     /// assert!(!inventory.entry("i-1", Instant::now()).is_open(Instant::now()));
     /// ```
     pub fn is_open(&self, now: Instant) -> bool {
-        let is_heard = self.last_contact.is_some_and(|last_contact| {
+        let is_reachable = self.last_contact.is_some_and(|last_contact| {
             now.saturating_duration_since(last_contact) < SILENCE_TIMEOUT
         });
         let is_full = self.full_until.is_some_and(|until| now < until);
-        let is_leaving = self.status.as_ref().is_none_or(|status| status.draining);
-        is_heard && !is_full && !is_leaving && !self.resync
+        let is_draining = self.status.as_ref().is_none_or(|status| status.draining);
+        is_reachable && !is_full && !is_draining && !self.resync
     }
 
     /// Returns the processor time estimated to be left for best-effort tasks, in thousandths of a
@@ -175,13 +175,13 @@
     /// assert!(!inventory.entry("i-1", Instant::now()).is_saturated());
     /// ```
     pub fn is_saturated(&self) -> bool {
-        let (mut wanted, mut working) = (0.0, 0.0);
+        let (mut requested, mut allowed) = (0.0, 0.0);
         for run in self.assigned.values().filter(|run| run.best_effort) {
             let pace = run.last_report.as_ref().map_or(100, |report| report.pace_percent);
-            wanted += run.millicores as f64;
-            working += run.millicores as f64 * f64::from(pace) / 100.0;
+            requested += run.millicores as f64;
+            allowed += run.millicores as f64 * f64::from(pace) / 100.0;
         }
-        working < wanted * MIN_AVERAGE_PACE
+        allowed < requested * MIN_AVERAGE_PACE
     }
 
     /// Returns whether a serving task is assigned to it.
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -176,13 +176,13 @@
     /// assert_eq!(inventory.get("i-1@2").unwrap().assigned.len(), 1);
     /// ```
     pub fn transfer(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
-        let Some(before) = self.workers.get_mut(from) else {
+        let Some(former) = self.workers.get_mut(from) else {
             return false;
         };
-        let Some(mut run) = before.assigned.remove(key) else {
+        let Some(mut run) = former.assigned.remove(key) else {
             return false;
         };
-        before.used = before.used.minus(&run.reserved);
+        former.used = former.used.minus(&run.reserved);
         let was_stopping = std::mem::replace(&mut run.stopping, false);
         if let Some(worker) = self.workers.get_mut(to) {
             worker.used = worker.used.plus(&run.reserved);
