--- a/src/workflow/plan_decision.rs
+++ b/src/workflow/plan_decision.rs
@@ -14,7 +14,7 @@
 pub enum MoveReason {
     /// The agent throttled it to protect serving tasks.
     HeldUp,
-    /// Its worker is leaving.
+    /// Its worker is draining.
     Leaving,
     /// Its worker is emptied of serving tasks.
     Emptied,
@@ -73,7 +73,7 @@
         /// Worker that the run was assigned to.
         worker: InstanceId,
     },
-    /// A run assigned to a previous runner instance is running on its successor, which carried out
+    /// A run assigned to a former runner instance is running on its successor, which carried out
     /// the start order.
     RunAdopted {
         /// Task of the run.
@@ -164,7 +164,7 @@
         /// Worker that crashed last.
         worker: InstanceId,
     },
-    /// All runs of a runner instance are given up.
+    /// A runner instance is lost, together with all its runs.
     WorkerLost {
         /// Lost instance.
         worker: InstanceId,
--- a/src/workflow/planner.rs
+++ b/src/workflow/planner.rs
@@ -1,10 +1,11 @@
 //! State of the planner, which tracks all jobs and workers and decides which tasks start and stop
 //! where.
 //!
-//! Events arrive through the `on_*` methods, and [`Planner::plan`] assigns tasks to workers. Rows
-//! to be stored are taken with [`Planner::take_batch`]; the start orders of a batch are released
-//! only by [`Planner::on_committed`]. The store therefore knows each run before it starts, and a
-//! worker may discard the end of a run only after the store holds it.
+//! Serving tasks have a tail-latency target; best-effort tasks use the processor time that other
+//! tasks leave free. Events arrive through the `on_*` methods, and [`Planner::plan`] assigns tasks
+//! to workers. Rows to be stored are taken with [`Planner::take_batch`]; the start orders of a
+//! batch are released only by [`Planner::on_committed`]. The store therefore knows each run before
+//! it starts, and a worker may discard the end of a run only after the store holds it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,7 +44,7 @@
     pub(crate) wall_ms: u64,
     pub(crate) last_order_number: u64,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
-    pub(crate) ended: BTreeMap<JobId, EndedJob>,
+    pub(crate) ended_jobs: BTreeMap<JobId, EndedJob>,
     pub(crate) inventory: WorkerInventory,
     pub(crate) suspicion: WorkerSuspicion,
     pub(crate) task_suspicion: TaskSuspicion,
@@ -77,7 +78,7 @@
             wall_ms: 0,
             last_order_number: 0,
             jobs: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            ended_jobs: BTreeMap::new(),
             inventory: WorkerInventory::default(),
             suspicion: WorkerSuspicion::default(),
             task_suspicion: TaskSuspicion::default(),
@@ -108,7 +109,7 @@
         self.wall_ms = wall_ms;
     }
 
-    /// Records that the leases on a worker were extended and may last until `surely_expired`.
+    /// Records that the leases on a worker were extended and may last until `expired_by`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -122,7 +123,7 @@
     }
 
     /// Opens the occurrences that are due, gives up the runs of silent workers, and moves tasks
-    /// that are throttled, on leaving workers, or to be consolidated.
+    /// that are throttled, on draining workers, or to be consolidated.
     ///
     /// ```
     /// use std::time::Instant;
@@ -255,9 +256,9 @@
                 ran_ms: u64::try_from(ran.as_millis()).unwrap_or(u64::MAX),
             });
         }
-        let seen = released.and_then(|run| run.last_report).map(|seen| seen.checkpoint);
-        let known = seen.unwrap_or_default();
-        let checkpoint = if checkpoint.is_empty() { known.as_str() } else { checkpoint };
+        let reported = released.and_then(|run| run.last_report).map(|report| report.checkpoint);
+        let last_checkpoint = reported.unwrap_or_default();
+        let checkpoint = if checkpoint.is_empty() { last_checkpoint.as_str() } else { checkpoint };
         let Some(entry) = self.jobs.get_mut(&key.0.job) else {
             return;
         };
@@ -301,7 +302,7 @@
         }
     }
 
-    pub(crate) fn traits(&self, name: &TaskName) -> Option<TaskTraits> {
+    pub(crate) fn task_traits(&self, name: &TaskName) -> Option<TaskTraits> {
         let step = self.jobs.get(&name.job)?.step(name)?;
         Some(TaskTraits {
             task: name.clone(),
@@ -327,7 +328,7 @@
             payload: entry.spec.payload.clone(),
             checkpoint: task.checkpoint.clone(),
             ticket: self.advice.ticket(&key.0.step_key(), instance, self.now).map(str::to_string),
-            traits: self.traits(&key.0)?,
+            traits: self.task_traits(&key.0)?,
             is_repeat: false,
         })
     }
@@ -345,7 +346,7 @@
             return;
         };
         let keys = worker.assigned.keys().cloned();
-        let (kept, lost): (Vec<RunKey>, Vec<RunKey>) =
+        let (retained, lost): (Vec<RunKey>, Vec<RunKey>) =
             keys.partition(|key| unsettled.contains(key));
         if !worker.has_ended || !lost.is_empty() {
             let worker = instance.to_string();
@@ -355,7 +356,7 @@
         for key in lost {
             self.end_run(instance, &key, RunEnd::Lost, "");
         }
-        if kept.is_empty() {
+        if retained.is_empty() {
             self.inventory.remove(instance);
         } else if let Some(worker) = self.inventory.get_mut(instance) {
             worker.has_ended = true;
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -23,27 +23,27 @@
     pub(crate) fn on_crash(&mut self, crash: &RunnerCrash) -> Option<TaskName> {
         let worker = self.inventory.get(&crash.instance).filter(|worker| !worker.has_ended)?;
         let is_assigned = |task: &TaskName, run| worker.assigned.contains_key(&(task.clone(), run));
-        let assigned = crash.young.iter().filter(|young| is_assigned(&young.task, young.run));
-        let young = assigned.map(|run| CrashedRun {
+        let assigned = crash.young.iter().filter(|recent| is_assigned(&recent.task, recent.run));
+        let recent = assigned.map(|run| CrashedRun {
             task: run.task.clone(),
             max_age: run.age,
             min_age: run.lived,
             is_certain: run.is_certain,
         });
-        let young: Vec<CrashedRun> = young.collect();
+        let recent: Vec<CrashedRun> = recent.collect();
         let (worker, reported) = (crash.instance.clone(), crash.young.clone());
         self.decisions.push(PlanDecision::WorkerCrashed { worker, young: reported });
-        self.record_crash(&crash.instance, &young)
+        self.record_crash(&crash.instance, &recent)
     }
 
     /// Attributes a loss that no agent explained to the isolated task on the worker, since an agent
     /// that ends together with its runner cannot report which runs had started.
     pub(crate) fn on_unexplained_loss(&mut self, instance: &str) -> Option<TaskName> {
         let worker = self.inventory.get(instance).filter(|worker| !worker.has_ended)?;
-        let is_leaving = worker.status.as_ref().is_some_and(|status| status.draining);
-        let (task, run) = worker.isolated.clone().filter(|_| !is_leaving)?;
+        let is_draining = worker.status.as_ref().is_some_and(|status| status.draining);
+        let (task, run) = worker.isolated.clone().filter(|_| !is_draining)?;
         let is_recorded =
-            self.task_suspicion.crashes(&task).iter().any(|one| one.instance == instance);
+            self.task_suspicion.crashes(&task).iter().any(|crash| crash.instance == instance);
         if is_recorded || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
@@ -52,15 +52,15 @@
         self.record_crash(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
 
-    fn record_crash(&mut self, life: &str, young: &[CrashedRun]) -> Option<TaskName> {
-        let verdict = self.task_suspicion.on_crash(life, young, self.now);
+    fn record_crash(&mut self, instance: &str, recent: &[CrashedRun]) -> Option<TaskName> {
+        let verdict = self.task_suspicion.on_crash(instance, recent, self.now);
         for task in verdict.isolated.clone() {
             let crashes = self.task_suspicion.crashes(&task).len();
-            let worker = life.to_string();
+            let worker = instance.to_string();
             self.decisions.push(PlanDecision::TaskIsolated { task, crashes, worker });
         }
-        let young = young.iter().map(|run| &run.task);
-        young.chain(&verdict.exonerated).for_each(|task| self.store_crashes(task));
+        let recent = recent.iter().map(|run| &run.task);
+        recent.chain(&verdict.exonerated).for_each(|task| self.store_crashes(task));
         verdict.given_up
     }
 
@@ -102,9 +102,9 @@
         };
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
-            let proof = self.task_suspicion.clearing_age(task);
+            let clearing_age = self.task_suspicion.clearing_age(task);
             let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
-            if proof.is_some_and(|proof| age.is_some_and(|age| age >= proof)) {
+            if clearing_age.is_some_and(|clearing_age| age.is_some_and(|age| age >= clearing_age)) {
                 cleared.push(task.clone());
             }
         }
@@ -138,7 +138,7 @@
     /// Returns the isolated tasks of a job that can start. Gangs are left out, since they start as
     /// a whole with their job.
     fn isolated_tasks(&self, job: &JobId) -> Vec<TaskName> {
-        let mut found = Vec::new();
+        let mut tasks = Vec::new();
         let entry = self.jobs.get(job).filter(|entry| entry.end.is_none());
         for (occurrence, step) in self.ready_steps(job) {
             let spec = entry.and_then(|entry| entry.spec.steps.get(step as usize));
@@ -146,11 +146,11 @@
                 continue;
             };
             for index in self.startable(job, occurrence, step, spec) {
-                found.push(TaskName { job: job.clone(), occurrence, step, index });
+                tasks.push(TaskName { job: job.clone(), occurrence, step, index });
             }
         }
-        found.retain(|name| self.task_suspicion.is_isolated(name));
-        found
+        tasks.retain(|name| self.task_suspicion.is_isolated(name));
+        tasks
     }
 
     fn start_isolated_task(&mut self, name: &TaskName) -> usize {
