--- a/src/workflow/advice_cache.rs
+++ b/src/workflow/advice_cache.rs
@@ -1,4 +1,4 @@
-//! What the advice service has said: on which workers a step may run, and with which ticket.
+//! Cached answers of the advice service: on which workers a step may run, and with which ticket.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,20 +8,20 @@
 use crate::ids::InstanceId;
 use crate::ids::JobId;
 
-/// Most workers that one query names: few enough that its answer, which takes time for each, is quick.
+/// Limits the response time of a query, which grows with each worker in it.
 const MAX_WORKERS_PER_QUERY: usize = 30;
-/// A ticket is not used with less than this left, so that it is still valid at the runner.
+/// A ticket that expires sooner is not used, because it might expire on its way to the runner.
 const MIN_REMAINING_VALIDITY: Duration = Duration::from_millis(400);
 
-/// A step of one occurrence of a job.
+/// Identifies a step by its job, occurrence and step number.
 pub type StepKey = (JobId, u32, u32);
 
-/// A query to the advice service.
+/// A query to the advice service: on which of these workers may the step run?
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceQuery {
-    /// The step.
+    /// The step to be placed.
     pub step: StepKey,
-    /// The workers it asks about.
+    /// The candidate workers.
     pub workers: Vec<InstanceId>,
 }
 
@@ -31,16 +31,17 @@
     valid_until: Instant,
 }
 
-/// Answers of the advice service. Whether a step may run on a worker never changes; its ticket expires.
+/// Answers of the advice service. Whether a step may run on a worker never changes, but the ticket
+/// that permits it expires.
 #[derive(Clone, Debug, Default)]
 pub struct AdviceCache {
     tickets: BTreeMap<StepKey, BTreeMap<InstanceId, CachedTicket>>,
-    refused: BTreeMap<StepKey, BTreeSet<InstanceId>>,
+    denied: BTreeMap<StepKey, BTreeSet<InstanceId>>,
     pending: Option<AdviceQuery>,
 }
 
 impl AdviceCache {
-    /// The ticket with which a step may run on a worker now.
+    /// The ticket with which a step may start on a worker, unless it has expired or is about to.
     ///
     /// ```
     /// use std::time::Instant;
@@ -53,8 +54,9 @@
         (now + MIN_REMAINING_VALIDITY < ticket.valid_until).then_some(ticket.text.as_str())
     }
 
-    /// The next query for a step, unless one is on its way: workers that are not known to be refused
-    /// and have no valid ticket. The asker must send it and bring the answer.
+    /// The next query for a step: the workers for which there is neither a valid ticket nor a
+    /// denial. `None` while another query is pending or if no such worker is left. The caller has
+    /// to send the query and to pass the answer to [`AdviceCache::on_answer`].
     ///
     /// ```
     /// use std::time::Instant;
@@ -73,13 +75,13 @@
         if self.pending.is_some() {
             return None;
         }
-        let refused = self.refused.get(step);
-        let is_unknown = |worker: &InstanceId| {
-            !refused.is_some_and(|refused| refused.contains(worker))
+        let denied = self.denied.get(step);
+        let needs_query = |worker: &InstanceId| {
+            !denied.is_some_and(|denied| denied.contains(worker))
                 && self.ticket(step, worker, now).is_none()
         };
         let workers: Vec<InstanceId> =
-            workers.into_iter().filter(is_unknown).take(MAX_WORKERS_PER_QUERY).collect();
+            workers.into_iter().filter(needs_query).take(MAX_WORKERS_PER_QUERY).collect();
         if workers.is_empty() {
             return None;
         }
@@ -88,7 +90,8 @@
         Some(query)
     }
 
-    /// Takes in the answer to a query that was asked at `sent_at`; nothing when there was none.
+    /// Records the answer to the pending query, which was sent at `sent_at`. `None` means that the
+    /// service did not answer. Workers of the query that the answer leaves out are denied.
     ///
     /// ```
     /// use std::time::Duration;
@@ -110,26 +113,26 @@
         let (Some(query), Some((allowed, validity))) = (self.pending.take(), answer) else {
             return;
         };
-        let mut refused: BTreeSet<InstanceId> = query.workers.into_iter().collect();
+        let mut denied: BTreeSet<InstanceId> = query.workers.into_iter().collect();
         let tickets = self.tickets.entry(query.step.clone()).or_default();
         for (worker, text) in allowed {
-            refused.remove(&worker);
+            denied.remove(&worker);
             tickets.insert(worker, CachedTicket { text, valid_until: sent_at + validity });
         }
-        self.refused.entry(query.step).or_default().extend(refused);
+        self.denied.entry(query.step).or_default().extend(denied);
     }
 
-    /// Forgets a job that has ended.
+    /// Removes all entries of a job that has ended.
     ///
     /// ```
     /// greengagearch::workflow::advice_cache::AdviceCache::default().forget_job("a");
     /// ```
     pub fn forget_job(&mut self, job: &str) {
         self.tickets.retain(|step, _| step.0 != job);
-        self.refused.retain(|step, _| step.0 != job);
+        self.denied.retain(|step, _| step.0 != job);
     }
 
-    /// Drops a ticket that a runner did not take.
+    /// Removes a ticket that a runner has rejected.
     ///
     /// ```
     /// let mut cache = greengagearch::workflow::advice_cache::AdviceCache::default();
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -1,4 +1,4 @@
-//! A run as the planner sees it on its worker.
+//! The planner's state of a run that it has assigned to a worker.
 
 use std::time::Instant;
 
@@ -6,61 +6,61 @@
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::spec::ResourceVector;
 
-/// Pace at which a task that fills counts as held up, in percent.
-const SLOW_PERCENT: u32 = 30;
+/// Pace up to which a best-effort run counts as throttled.
+const MAX_THROTTLED_PERCENT: u32 = 30;
 
-/// A run that the planner has given to a worker.
+/// A run that the planner has assigned to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AssignedRun {
-    /// What it takes of the guarded capacity.
+    /// Part of the worker's allocatable capacity that it occupies.
     pub reserved: ResourceVector,
-    /// Processor time that it would use at most, in thousandths of a core.
+    /// Processor time that it uses at most, in thousandths of a core.
     pub millicores: u64,
-    /// Whether it fills what others leave.
+    /// Whether it uses only the processor time that other tasks leave.
     pub best_effort: bool,
-    /// What it runs.
+    /// The image that it executes.
     pub image: String,
-    /// Bound on its tail latency in milliseconds; zero for a run that does not serve.
+    /// Target for its tail latency, in milliseconds; zero unless it is a serving task.
     pub target_ms: u64,
-    /// Whether it saves its work.
+    /// Whether it saves checkpoints.
     pub checkpoints: bool,
     /// Whether it runs until its job is cancelled.
     pub long_running: bool,
-    /// Number of the order that carried it; nothing while the order waits for the store.
+    /// Number of the start order; `None` until the assignment is committed to the store.
     pub order: Option<u64>,
-    /// When it was assigned.
+    /// When it was assigned to the worker.
     pub assigned_at: Instant,
-    /// What the worker last said of it.
+    /// The worker's most recent report of it.
     pub last_report: Option<PresentRun>,
-    /// When the worker first said that it runs.
+    /// When the worker first reported it as present.
     pub first_reported_at: Option<Instant>,
-    /// When the worker first showed that it has begun.
+    /// When the worker first reported that it had begun.
     pub begun_at: Option<Instant>,
-    /// What its agent was last told of it.
+    /// The traits that were last sent to the agent.
     pub sent_traits: Option<TaskTraits>,
-    /// Since when it may work only slowly, because it disturbs what serves.
+    /// Since when it has been throttled because it interferes with serving tasks.
     pub throttled_since: Option<Instant>,
     /// Whether it was ordered to stop.
     pub stopping: bool,
-    /// Its work since progress was first seen of it.
+    /// Its progress since the first report that showed any.
     pub progress: Option<RunProgress>,
 }
 
-/// The work of a run since its progress was first seen.
+/// Work that a run has done since its first report with any progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunProgress {
-    /// Progress at the beginning, in percent.
+    /// Progress in the first such report, in percent.
     pub from_percent: u32,
-    /// Newest progress, in percent.
+    /// Progress in the newest report, in percent.
     pub to_percent: u32,
-    /// Time between both, in milliseconds at full pace.
+    /// Work between the two reports, in milliseconds at full pace.
     pub worked_ms: f64,
-    /// When the newest was seen.
+    /// When the newest report arrived.
     pub reported_at: Instant,
 }
 
 impl AssignedRun {
-    /// Takes in what the worker says of it. Says whether its pace has changed.
+    /// Records a report of the run. Returns whether its pace has changed.
     ///
     /// ```
     /// use std::time::Instant;
@@ -74,55 +74,55 @@
     /// let key: (greengagearch::workflow::task_name::TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
     /// board.assign("i-1", key.clone(), &StepSpec::default(), now, now);
     /// let run = board.get_mut("i-1").unwrap().assigned.get_mut(&key).unwrap();
-    /// let seen = PresentRun { pace_percent: 10, ..PresentRun::ordered(key.0, 1) };
-    /// assert!(run.on_report(seen, now));
+    /// let report = PresentRun { pace_percent: 10, ..PresentRun::ordered(key.0, 1) };
+    /// assert!(run.on_report(report, now));
     /// ```
-    pub fn on_report(&mut self, seen: PresentRun, now: Instant) -> bool {
-        self.record_progress(&seen, now);
-        let before = self.last_report.as_ref().map(|known| known.pace_percent);
-        let is_new_pace = before != Some(seen.pace_percent);
+    pub fn on_report(&mut self, report: PresentRun, now: Instant) -> bool {
+        self.record_progress(&report, now);
+        let previous_pace = self.last_report.as_ref().map(|previous| previous.pace_percent);
+        let has_pace_changed = previous_pace != Some(report.pace_percent);
         self.first_reported_at.get_or_insert(now);
-        if seen.is_begun {
+        if report.is_begun {
             self.begun_at.get_or_insert(now);
         }
-        let is_slow = self.best_effort && seen.pace_percent <= SLOW_PERCENT;
-        self.throttled_since = if is_slow { self.throttled_since.or(Some(now)) } else { None };
-        self.last_report = Some(seen);
-        is_new_pace
+        let is_throttled = self.best_effort && report.pace_percent <= MAX_THROTTLED_PERCENT;
+        self.throttled_since = if is_throttled { self.throttled_since.or(Some(now)) } else { None };
+        self.last_report = Some(report);
+        has_pace_changed
     }
 
-    /// Adds the time since the look before, at the pace that the run had then.
-    fn record_progress(&mut self, seen: &PresentRun, now: Instant) {
-        let percent = seen.progress_percent;
-        let pace = self.last_report.as_ref().map_or(100, |known| known.pace_percent);
+    /// Adds the time since the previous report, weighted by the pace of that report.
+    fn record_progress(&mut self, report: &PresentRun, now: Instant) {
+        let percent = report.progress_percent;
+        let pace = self.last_report.as_ref().map_or(100, |previous| previous.pace_percent);
         match &mut self.progress {
-            Some(work) => {
-                let span = now.saturating_duration_since(work.reported_at).as_secs_f64();
-                work.worked_ms += span * 10.0 * f64::from(pace);
-                work.to_percent = percent;
-                work.reported_at = now;
+            Some(progress) => {
+                let span = now.saturating_duration_since(progress.reported_at).as_secs_f64();
+                progress.worked_ms += span * 10.0 * f64::from(pace);
+                progress.to_percent = percent;
+                progress.reported_at = now;
             }
-            // A run that was only just ordered shows none yet.
+            // A run that was only ordered so far has no progress yet.
             None if percent > 0 => {
-                let work = RunProgress {
+                let progress = RunProgress {
                     from_percent: percent,
                     to_percent: percent,
                     worked_ms: 0.0,
                     reported_at: now,
                 };
-                self.progress = Some(work);
+                self.progress = Some(progress);
             }
             None => {}
         }
     }
 }
 
-/// A run that filled and has ended of late.
+/// A best-effort run that ended recently.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedBestEffortRun {
-    /// What it ran.
+    /// The image that it executed.
     pub image: String,
-    /// When it began.
+    /// When the worker first reported it.
     pub started_at: Instant,
     /// When it ended.
     pub ended_at: Instant,
--- a/src/workflow/changed_jobs.rs
+++ b/src/workflow/changed_jobs.rs
@@ -1,51 +1,49 @@
-//! Jobs whose rows have to be written, the one that has waited longest first.
+//! First-in, first-out queue of the jobs whose rows have to be written to the store.
 //!
-//! A transaction holds a few dozen jobs. While the store is slow more jobs change during one write than the next one holds; taken by
-//! their names, those at the end of the alphabet would wait until it is well again, with their starts and ends.
+//! A transaction writes a few dozen jobs. While the store is slow, more jobs change during one
+//! write than fit into the next. If they were written in the order of their names, the starts and
+//! ends of the last names would be delayed until the store recovers.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use crate::ids::JobId;
 
-/// Jobs that have changed, in the order in which they did.
+/// Jobs with unwritten changes, in the order of their first unwritten change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangedJobs {
-    by_turn: BTreeMap<u64, JobId>,
-    turns: HashMap<JobId, u64>,
-    next_turn: u64,
+    by_sequence: BTreeMap<u64, JobId>,
+    sequences: HashMap<JobId, u64>,
+    next_sequence: u64,
 }
 
 impl ChangedJobs {
-    /// Adds a job; one that waits keeps its turn.
+    /// Adds a job at the end of the queue; a queued job keeps its position.
     pub(crate) fn insert(&mut self, job: JobId) {
-        if self.turns.contains_key(&job) {
+        if self.sequences.contains_key(&job) {
             return;
         }
-        self.turns.insert(job.clone(), self.next_turn);
-        self.by_turn.insert(self.next_turn, job);
-        self.next_turn += 1;
+        self.sequences.insert(job.clone(), self.next_sequence);
+        self.by_sequence.insert(self.next_sequence, job);
+        self.next_sequence += 1;
     }
 
-    /// The job that has waited longest.
+    /// The job at the head of the queue.
     pub(crate) fn first(&self) -> Option<&JobId> {
-        self.by_turn.values().next()
+        self.by_sequence.values().next()
     }
 
-    /// Takes a job out.
     pub(crate) fn remove(&mut self, job: &str) {
-        if let Some(turn) = self.turns.remove(job) {
-            self.by_turn.remove(&turn);
+        if let Some(sequence) = self.sequences.remove(job) {
+            self.by_sequence.remove(&sequence);
         }
     }
 
-    /// Whether a job waits.
     pub(crate) fn contains(&self, job: &str) -> bool {
-        self.turns.contains_key(job)
+        self.sequences.contains_key(job)
     }
 
-    /// Whether no job waits.
     pub(crate) fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.sequences.is_empty()
     }
 }
--- a/src/workflow/job_forecast.rs
+++ b/src/workflow/job_forecast.rs
@@ -1,20 +1,24 @@
-//! How long the tasks of a job take at full pace, learned from how far its runs have come.
+//! Forecast of task durations at full pace, from the reported progress of a job's runs.
 //!
-//! Declared durations are off by a factor of two either way, and with them which jobs can still be in time: of 58
-//! jobs of two busy minutes 33 were, and 21 by what was declared. Runners report the progress of each run, so that
-//! a tenth of a task's work tells its duration to within a few percent, and its siblings' to within a fifth.
+//! Declared durations are off by up to a factor of two, and so is the choice of the jobs that can
+//! still meet their objective: of 58 jobs in two busy minutes 33 met it, against 21 when scheduled
+//! by declared durations. Runners report the progress of each run. A tenth of a task's work
+//! predicts its duration to within a few percent, and that of the other tasks of its step to within
+//! a fifth.
 
 use std::collections::BTreeMap;
 
 use crate::workflow::spec::WorkflowSpec;
 use crate::workflow::task_name::TaskName;
 
-/// Progress that has to be seen of a run before its rate is believed, in percent: reports are rounded to one.
+/// Progress in percent from which a run's rate is used. Reports are rounded to whole percents, so
+/// that less progress gives a poor estimate.
 const MIN_PROGRESS: f64 = 10.0;
-/// The longest of several unseen tasks against their usual duration: tasks of one step differ by about a fifth.
+/// Ratio of the expected longest duration to the mean duration among tasks without measured
+/// progress: durations within one step differ by about a fifth.
 const UNMEASURED_MAX_FACTOR: f64 = 1.2;
 
-/// A task within its job.
+/// Identifies a task within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskPosition {
     /// Occurrence of the job.
@@ -31,20 +35,20 @@
     }
 }
 
-/// What is known of one task's work, in milliseconds at full pace.
+/// Forecast for one task, in milliseconds at full pace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct TaskForecast {
     total_ms: f64,
     remaining_ms: f64,
 }
 
-/// What is known of the tasks of one step.
+/// Forecast for the tasks of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct StepForecast {
     tasks: BTreeMap<TaskPosition, TaskForecast>,
-    /// Geometric mean of the known durations, in milliseconds.
+    /// Geometric mean of the forecast durations, in milliseconds.
     mean_ms: f64,
-    /// The longest of them.
+    /// The longest forecast duration, in milliseconds.
     max_ms: f64,
 }
 
@@ -57,7 +61,7 @@
     }
 }
 
-/// What is known of the durations of a job's tasks.
+/// Forecast of the durations of a job's tasks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobForecast {
     /// By the number of the step.
@@ -65,7 +69,8 @@
 }
 
 impl JobForecast {
-    /// Takes in that a run of a task went from one progress to another, in percent, by so much work at full pace.
+    /// Records that a run of a task advanced `from` one progress `to` another, in percent, by
+    /// `worked_ms` of work at full pace. Ignored if the progress is too small for a forecast.
     ///
     /// ```
     /// use greengagearch::workflow::job_forecast::JobForecast;
@@ -96,7 +101,7 @@
         step.learn(position, TaskForecast { total_ms, remaining_ms });
     }
 
-    /// The longest duration that is expected among the tasks of a step, in milliseconds.
+    /// The longest expected duration among the tasks of a step, in milliseconds.
     ///
     /// ```
     /// use greengagearch::workflow::job_forecast::JobForecast;
@@ -109,12 +114,12 @@
         let Some(known) = self.steps.get(&step) else {
             return declared_ms;
         };
-        let is_measured = known.tasks.len() >= (count * spec.occurrences()) as usize;
-        let unmeasured_ms = if is_measured { 0.0 } else { known.mean_ms * UNMEASURED_MAX_FACTOR };
+        let all_measured = known.tasks.len() >= (count * spec.occurrences()) as usize;
+        let unmeasured_ms = if all_measured { 0.0 } else { known.mean_ms * UNMEASURED_MAX_FACTOR };
         known.max_ms.max(unmeasured_ms)
     }
 
-    /// What is left of a task that is not done, in milliseconds.
+    /// Expected remaining duration of an unfinished task, in milliseconds.
     ///
     /// ```
     /// use greengagearch::workflow::job_forecast::JobForecast;
@@ -133,7 +138,7 @@
     }
 }
 
-/// How many tasks a step has and how long its caller says that they take, in milliseconds.
+/// Number of tasks of a step and their declared duration in milliseconds.
 fn declared(spec: &WorkflowSpec, step: u32) -> (u32, f64) {
     let step = spec.steps.get(step as usize);
     step.map_or((0, 0.0), |step| (step.count, step.estimate_ms as f64))
--- a/src/workflow/learned_interference.rs
+++ b/src/workflow/learned_interference.rs
@@ -1,4 +1,4 @@
-//! What a planner has learned of images, as its successor takes it over.
+//! The learned state of the interference model that a planner stores for its successor.
 
 use std::time::Instant;
 
@@ -9,50 +9,51 @@
 use crate::workflow::pair_interference::Estimate;
 use crate::workflow::pair_interference::PairInterferenceModel;
 
-/// What was learned of a pair of images.
+/// Interference between a best-effort image and a serving image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PairInterference {
-    /// The image that serves.
+    /// Image of the serving task.
     pub serving: ImageName,
-    /// The image that fills.
+    /// Image of the best-effort task.
     #[serde(rename = "filling")]
     pub best_effort: ImageName,
-    /// What one filling task at full pace adds to the load of the serving one.
+    /// Load that one best-effort task at full pace adds to the serving task.
     pub added_load: f64,
-    /// Variance of that.
+    /// Variance of the estimate of `added_load`.
     pub variance: f64,
 }
 
-/// The least tail latency that was seen of an image.
+/// The lowest tail latency measured for a serving image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MinTailLatency {
-    /// The image.
+    /// The serving image.
     pub image: ImageName,
-    /// Its least tail latency in milliseconds.
+    /// Its lowest tail latency in milliseconds.
     pub tail_ms: f64,
 }
 
-/// What outlives a change of the planner. What a single run does is not part of it: that changes within seconds.
+/// Estimates that a successor planner starts from. The loads of single jobs are left out, since
+/// they change within seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedInterference {
-    /// Pairs of images.
+    /// Interference of each known pair of images.
     pub pairs: Vec<PairInterference>,
-    /// Images that serve.
+    /// Lowest tail latency of each known serving image.
     #[serde(rename = "least_tails")]
     pub min_tails: Vec<MinTailLatency>,
 }
 
 impl PairInterferenceModel {
-    /// What a successor should know.
+    /// Exports the estimates for a successor.
     ///
     /// ```
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert!(model.learned().pairs.is_empty());
     /// ```
     pub fn learned(&self) -> LearnedInterference {
-        let pairs = self.each_pair().map(|(serving, filling, pair)| PairInterference {
+        let pairs = self.each_pair().map(|(serving, best_effort, pair)| PairInterference {
             serving: serving.clone(),
-            best_effort: filling.clone(),
+            best_effort: best_effort.clone(),
             added_load: pair.value,
             variance: pair.variance,
         });
@@ -63,7 +64,7 @@
         LearnedInterference { pairs: pairs.collect(), min_tails: tails.collect() }
     }
 
-    /// A model that begins with what a predecessor has learned.
+    /// A model that starts from the estimates of a predecessor.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -1,6 +1,7 @@
-//! Jobs of several steps: the model, the decisions of the planner and of the node agents.
+//! Multi-step jobs (workflows): the data model and the scheduling decisions of the planner and of
+//! the node agents.
 //!
-//! Nothing here does input or output or reads a clock; times are arguments.
+//! The modules do no I/O and read no clock; the current time is always an argument.
 
 pub mod advice_cache;
 pub mod assigned_run;
