--- a/src/process/node/watcher.rs
+++ b/src/process/node/watcher.rs
@@ -176,7 +176,7 @@
             ("task", task),
             ("run", run),
             ("percent", &step.percent),
-            ("pressure", &format!("{:.2}", step.pressure)),
+            ("pressure", &format!("{:.2}", step.tail_ratio)),
             ("outcome", &outcome),
         ],
     );
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -1,9 +1,11 @@
-//! How fast tasks that fill may work beside tasks that serve.
+//! Controller for the pace of the best-effort runs on a worker. The pace of a run is its speed as a
+//! share of its full speed.
 //!
-//! The tail of a serving task's response times must stay below its target. In terms of the load that a tail
-//! shows (see [`crate::workflow::pair_interference`]) fills add up: what they may add is the load that is aimed at
-//! less the load that is there without them. That one is what was measured less what the fills have added
-//! over the measured span, each by its image and its pace. The fills that add most are slowed first.
+//! The tail latency of a serving task must stay below its target. In terms of load (see
+//! [`crate::workflow::pair_interference`]) the effects of best-effort runs are additive. They may
+//! add the target load minus the load of the serving task without them. The latter is the measured
+//! load minus the load that the best-effort runs added during the measurement window, which follows
+//! from their images and their paces. The runs that add the most load are throttled first.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,61 +15,65 @@
 
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
-use crate::workflow::pair_interference::FIRST_ADDED;
-use crate::workflow::pair_interference::FIRST_IDLE_SHARE;
+use crate::workflow::pair_interference::INITIAL_ADDED_LOAD;
+use crate::workflow::pair_interference::INITIAL_IDLE_TAIL_SHARE;
 use crate::workflow::run_pace::RunPace;
 use crate::workflow::target_violations::SustainedViolation;
 use crate::workflow::target_violations::TargetViolations;
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
-/// Kept between the load that is aimed at and the load at the target: what a load swings by within a look and
-/// the measured span, and two standard deviations of a measured tail.
+/// Distance of the controlled load from the load at the target. It covers the change of a load
+/// within a control period and the measurement window, and two standard deviations of a measured
+/// tail.
 const LOAD_MARGIN: f64 = 0.04;
-/// Time between two rises: runners measure tails anew that often, and a pace needs some time to have its effect.
+/// Minimum time between two increases: the measurement window of the runners plus the delay until a
+/// pace takes effect.
 const MIN_RAISE_INTERVAL: Duration = Duration::from_millis(620);
-/// Least load that a fill at full pace is taken to add.
+/// Lower limit for the load that a best-effort run at full pace is assumed to add.
 const MIN_ADDED_LOAD: f64 = 0.02;
-/// Mean pace below which a fill stands still.
+/// Mean pace below which a run counts as paused.
 const PAUSED_PACE: f64 = 0.02;
 
-/// A run that should work at another speed.
+/// An order to change the pace of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PaceChange {
     /// The run.
     pub key: RunKey,
-    /// Share of its full speed, in percent.
+    /// The new pace, in percent of the run's full speed.
     pub percent: u32,
-    /// The worst tail as a share of its target, which decided it.
-    pub pressure: f64,
+    /// The highest ratio of a tail latency to its target on the worker.
+    pub tail_ratio: f64,
 }
 
-/// The pace of the fills on one worker.
+/// Controls the paces of the best-effort runs on one worker.
 #[derive(Clone, Debug, Default)]
 pub struct PaceController {
-    /// When fills were last allowed to work faster.
+    /// When a pace was last increased.
     last_raised: Option<Instant>,
-    /// In their order, so that the same looks give the same paces to the last bit.
+    /// Sorted, so that the same input always gives exactly the same paces.
     paces: BTreeMap<RunKey, RunPace>,
-    /// Runs that another agent may have paced before.
+    /// Runs whose pace a previous agent may have set.
     inherited: BTreeSet<RunKey>,
-    /// Whether the runs of the next look are such ones.
+    /// Whether the runs of the next update are inherited from a previous agent.
     inherits_next_update: bool,
     violations: TargetViolations,
 }
 
-/// Tasks of one job that serve on this worker, whose load swings alike, or one that counts by itself.
+/// Serving tasks of one step on this worker, which have the same load, or a single serving task
+/// that has exceeded its target for long.
 struct ServingGroup {
-    /// What they run.
+    /// Their image.
     image: String,
-    /// The load that is aimed at less the load that was measured.
+    /// The controlled load minus the measured load.
     headroom: f64,
-    /// The tail as a share of its target.
-    pressure: f64,
+    /// Ratio of the tail latency to its target.
+    tail_ratio: f64,
 }
 
 impl PaceController {
-    /// Control of a worker that another agent may have paced: what the first look shows is ordered anew.
+    /// A controller for a worker on which a previous agent may have set paces. The pace of each run
+    /// in the first update is ordered again.
     ///
     /// ```
     /// use greengagearch::workflow::pacing::PaceController;
@@ -78,7 +84,7 @@
         PaceController { inherits_next_update: true, ..PaceController::default() }
     }
 
-    /// Takes in what runs on the worker and gives the changes of pace.
+    /// Records the runs on the worker and returns the changes of pace to be ordered.
     ///
     /// ```
     /// use std::collections::HashMap;
@@ -103,12 +109,13 @@
         }
         let mut groups = serving_groups(running, traits);
         groups.extend(self.victim_groups(running, traits, now));
-        let pressure = groups.iter().map(|group| group.pressure).fold(0.0, f64::max);
+        let tail_ratio = groups.iter().map(|group| group.tail_ratio).fold(0.0, f64::max);
         let allowed = self.max_paces(&groups, traits, now);
-        self.pace_changes(&allowed, pressure, now)
+        self.pace_changes(&allowed, tail_ratio, now)
     }
 
-    /// Tasks that have newly been over their targets for long, and the highest pace of the fills beside them in percent.
+    /// Removes and returns the violations that have become sustained, each with the highest pace of
+    /// the best-effort runs on the worker in percent.
     ///
     /// ```
     /// assert!(greengagearch::workflow::pacing::PaceController::default().take_sustained_violations().is_empty());
@@ -123,7 +130,7 @@
             .collect()
     }
 
-    /// The pace that was ordered for a run last, in percent.
+    /// The pace that was last ordered for a run, in percent; 100 for an unknown run.
     ///
     /// ```
     /// use greengagearch::workflow::pacing::PaceController;
@@ -135,7 +142,7 @@
         (pace * 100.0).round() as u32
     }
 
-    /// The mean pace of a run over the span that a tail tells of, in percent.
+    /// The mean pace of a run over the measurement window, in percent; zero for an unknown run.
     ///
     /// ```
     /// use std::time::Instant;
@@ -150,14 +157,14 @@
         (mean * 100.0).round() as u32
     }
 
-    /// Takes note that an ordered pace was carried out. If another one was ordered meanwhile, it is not known which came last, and the
-    /// next look orders the newest again.
+    /// Records that the runner has applied a change. If another change was ordered meanwhile, it is
+    /// unknown which one was applied last, and the next update orders the newest pace again.
     ///
     /// ```
     /// use greengagearch::workflow::pacing::PaceController;
     /// use greengagearch::workflow::pacing::PaceChange;
     ///
-    /// let change = PaceChange { key: ("a.0.0.0".parse().unwrap(), 1), percent: 50, pressure: 1.0 };
+    /// let change = PaceChange { key: ("a.0.0.0".parse().unwrap(), 1), percent: 50, tail_ratio: 1.0 };
     /// PaceController::default().on_applied(&change);
     /// ```
     pub fn on_applied(&mut self, change: &PaceChange) {
@@ -167,7 +174,7 @@
         }
     }
 
-    /// Takes note that an ordered pace was refused; the next look orders it again.
+    /// Records that the runner has rejected a change; the next update orders the pace again.
     ///
     /// ```
     /// use greengagearch::workflow::pacing::PaceController;
@@ -176,11 +183,12 @@
     /// ```
     pub fn on_rejected(&mut self, key: &RunKey) {
         if let Some(pace) = self.paces.get_mut(key) {
-            pace.doubt();
+            pace.mark_uncertain();
         }
     }
 
-    /// Takes note that an ordered pace got no answer: it may be carried out later than newer ones, so that those are repeated.
+    /// Records that the runner did not answer to a change. It may still be applied after newer
+    /// ones, which are therefore repeated.
     ///
     /// ```
     /// use std::time::Instant;
@@ -195,11 +203,11 @@
         }
     }
 
-    /// The changes that lead to the allowed paces.
+    /// The changes that bring the paces closer to the allowed ones.
     fn pace_changes(
         &mut self,
         allowed: &BTreeMap<RunKey, f64>,
-        pressure: f64,
+        tail_ratio: f64,
         now: Instant,
     ) -> Vec<PaceChange> {
         let may_raise = self
@@ -216,12 +224,13 @@
             }
             pace.order(wanted, now);
             let percent = (wanted * 100.0).round() as u32;
-            changes.push(PaceChange { key: key.clone(), percent, pressure });
+            changes.push(PaceChange { key: key.clone(), percent, tail_ratio });
         }
         changes
     }
 
-    /// Keeps the paces of the fills that run, and starts those of new ones at full speed.
+    /// Removes the paces of ended best-effort runs and adds those of new ones, which start at full
+    /// pace.
     fn track_runs(
         &mut self,
         running: &[PresentRun],
@@ -229,30 +238,31 @@
         now: Instant,
     ) {
         self.record_inherited(running);
-        let fills =
+        let best_effort =
             running.iter().filter(|run| traits.get(&run.task).is_some_and(|t| t.best_effort));
         let mut paces = BTreeMap::new();
-        for run in fills {
+        for run in best_effort {
             let key = (run.task.clone(), run.run);
             let known = self.paces.remove(&key);
-            let first = || match self.inherited.contains(&key) {
+            let new_pace = || match self.inherited.contains(&key) {
                 true => RunPace::inherited(now),
                 false => RunPace::started(now),
             };
-            let pace = known.unwrap_or_else(first);
+            let pace = known.unwrap_or_else(new_pace);
             paces.insert(key, pace);
         }
         self.paces = paces;
     }
 
-    /// Remembers what the first look shows: which runs are fills is known only when the planner has described them.
+    /// Records all runs of the first update as inherited, since it is unknown which of them are
+    /// best-effort until the planner has sent their traits.
     fn record_inherited(&mut self, running: &[PresentRun]) {
         if std::mem::take(&mut self.inherits_next_update) {
             self.inherited = running.iter().map(|run| (run.task.clone(), run.run)).collect();
         }
     }
 
-    /// Tasks that count by themselves, since they have been over their targets for long.
+    /// Groups of one for the tasks that have exceeded their targets for long.
     fn victim_groups(
         &self,
         running: &[PresentRun],
@@ -281,7 +291,7 @@
         victims
     }
 
-    /// The load that fills have added to tasks of an image over the measured span.
+    /// The load that best-effort runs added to tasks of an image during the measurement window.
     fn mean_added_load(
         &self,
         image: &str,
@@ -292,7 +302,7 @@
         paces.map(|(key, pace)| added_load(key, image, traits) * pace.mean(now)).sum()
     }
 
-    /// The highest paces at which no group is expected above its aim.
+    /// The highest paces at which no group is expected to exceed its controlled load.
     fn max_paces(
         &self,
         groups: &[ServingGroup],
@@ -324,7 +334,8 @@
     }
 }
 
-/// The tasks that serve, by their job. One tail that stands out from those of its siblings says little.
+/// Groups the serving tasks by job and step. Each group has the median tail, since a single outlier
+/// is not significant.
 fn serving_groups(
     running: &[PresentRun],
     traits: &HashMap<TaskName, TaskTraits>,
@@ -345,20 +356,21 @@
     tails.into_values().map(group).collect()
 }
 
-/// What a fill at full pace adds to the load of tasks of an image, as far as that is known.
+/// The load that a best-effort run at full pace adds to tasks of an image; an initial estimate
+/// before it is known.
 fn added_load(key: &RunKey, image: &str, traits: &HashMap<TaskName, TaskTraits>) -> f64 {
     let known = traits.get(&key.0).and_then(|traits| traits.added(image));
-    known.unwrap_or(FIRST_ADDED).max(MIN_ADDED_LOAD)
+    known.unwrap_or(INITIAL_ADDED_LOAD).max(MIN_ADDED_LOAD)
 }
 
-/// What a tail of a task that serves leaves to fills.
+/// The group of a serving task with a measured tail.
 fn serving_group(tail: f64, traits: &TaskTraits) -> ServingGroup {
     let target = traits.target_ms as f64;
     let idle = match traits.idle_tail_ms {
-        0 => target * FIRST_IDLE_SHARE,
+        0 => target * INITIAL_IDLE_TAIL_SHARE,
         known => f64::from(known),
     };
-    // load = 1 − idle / tail, so that the difference of two loads needs no load at all.
+    // load = 1 − idle / tail, so that the difference of two loads is a difference of these ratios.
     let headroom = idle / tail - idle / target - LOAD_MARGIN;
-    ServingGroup { image: traits.image.clone(), headroom, pressure: tail / target }
+    ServingGroup { image: traits.image.clone(), headroom, tail_ratio: tail / target }
 }
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -1,10 +1,17 @@
-//! How much tasks that fill disturb tasks that serve beside them, learned by pairs of images.
+//! Model of how much best-effort tasks slow down serving tasks on the same worker, learned for each
+//! pair of images.
 //!
-//! A serving task's tail latency behaves like that of a queue: tail = idle tail / (1 − load), where tasks that
-//! fill add to the load. So everything adds up in terms of load = 1 − idle tail / tail. The load that a step
-//! that serves has without them swings within seconds, for all its tasks alike wherever they run (seen in
-//! tails of bridgeway quiet-1); each pair of images has what one filling task at full pace adds. Both are
-//! updated by a Kalman filter with a diagonal covariance.
+//! Serving tasks are latency-critical: they have a target for the tail latency of their responses.
+//! Best-effort tasks use the processor time that the other tasks leave. A serving task's tail
+//! latency follows that of a queue: tail = idle tail / (1 − load), where the idle tail is the tail
+//! latency without any load. Best-effort tasks add to the load, so that their effects are additive
+//! in terms of load = 1 − idle tail / tail.
+//!
+//! Two kinds of values are estimated. The load of a serving step without best-effort tasks
+//! fluctuates within seconds, equally for all tasks of the step on any worker (measured in the
+//! scenario bridgeway quiet-1). For each pair of a serving and a best-effort image, the model has
+//! the load that one best-effort task at full pace adds. A Kalman filter with a diagonal covariance
+//! matrix updates both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,47 +24,51 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_entry::WorkerEntry;
 
-/// Span over which runners measure tails.
-pub const MEASURED_SPAN: Duration = Duration::from_millis(500);
-/// Part of the span from which on a task counts in full, since a tail shows the worst part of it.
+/// Window over which runners measure tail latencies.
+pub const MEASUREMENT_WINDOW: Duration = Duration::from_millis(500);
+/// A best-effort task that ran for at least this part of the window counts in full, since the
+/// tail latency shows the worst part of the window.
 const FULL_OVERLAP: Duration = Duration::from_millis(200);
-/// Part of the span below which a task does not count; samples with tasks between both are not used.
-const LEAST_OVERLAP: Duration = Duration::from_millis(50);
-/// Idle tail as a share of the least tail that was seen, since some load was there then as well.
-const IDLE_SHARE: f64 = 0.85;
-/// Idle tail as a share of the target before any tail was seen.
-pub(crate) const FIRST_IDLE_SHARE: f64 = 0.2;
-/// Load of a serving run before anything was seen of it.
-const FIRST_LOAD: f64 = 0.45;
-/// Variance of that load.
-const FIRST_LOAD_VARIANCE: f64 = 0.04;
-/// Growth of the variance of a run's load a second: it swings by a quarter within seconds.
-const LOAD_DRIFT: f64 = 0.01;
-/// What a filling task adds to a load before its pair was seen.
-pub(crate) const FIRST_ADDED: f64 = 0.12;
-/// Variance of that.
-const FIRST_ADDED_VARIANCE: f64 = 0.04;
-/// Growth of a pair's variance a second.
-const ADDED_DRIFT: f64 = 0.0005;
-/// Variance of a measured load, whatever its size.
-const SAMPLE_VARIANCE: f64 = 0.002;
-/// Standard deviation of a tail as a share of it.
-const TAIL_NOISE: f64 = 0.1;
-/// Largest load that a tail is believed to show.
-const LARGEST_LOAD: f64 = 0.98;
-/// Load from which on a tail is taken to be cut off.
+/// A best-effort task that ran for less than this part of the window does not count. A sample with
+/// a task between this and [`FULL_OVERLAP`] is discarded.
+const MIN_OVERLAP: Duration = Duration::from_millis(50);
+/// Idle tail as a share of the lowest measured tail, which was measured under some load.
+const IDLE_TAIL_SHARE: f64 = 0.85;
+/// Idle tail as a share of the target, used before any tail is measured.
+pub(crate) const INITIAL_IDLE_TAIL_SHARE: f64 = 0.2;
+/// Initial estimate of the load of a serving step.
+const INITIAL_LOAD: f64 = 0.45;
+/// Variance of the initial load estimate, which is also its upper limit.
+const INITIAL_LOAD_VARIANCE: f64 = 0.04;
+/// Growth of the variance of a load estimate per second: loads change by a quarter within seconds.
+const LOAD_VARIANCE_GROWTH: f64 = 0.01;
+/// Initial estimate of the load that a best-effort task at full pace adds.
+pub(crate) const INITIAL_ADDED_LOAD: f64 = 0.12;
+/// Variance of the initial added load, which is also its upper limit.
+const INITIAL_ADDED_VARIANCE: f64 = 0.04;
+/// Growth of the variance of an added load per second.
+const ADDED_VARIANCE_GROWTH: f64 = 0.0005;
+/// Part of a sample's variance that does not depend on the load.
+const BASE_SAMPLE_VARIANCE: f64 = 0.002;
+/// Relative standard deviation of a measured tail.
+const TAIL_RELATIVE_DEVIATION: f64 = 0.1;
+/// Upper limit for a load that is derived from a tail.
+const MAX_LOAD: f64 = 0.98;
+/// Load above which a tail is assumed to be truncated, since queues grow without limit.
 const SATURATED_LOAD: f64 = 0.92;
-/// What a load that is cut off is taken to be beyond what its tail shows.
+/// Amount by which the load of a truncated tail is assumed to exceed the derived load.
 const SATURATION_EXCESS: f64 = 0.25;
-/// Room that is left for a load to swing after a task is placed.
-const SWING_ROOM: f64 = 0.03;
-/// Share of the load at the target up to which a load may be expected when a task that fills is placed.
-const ALLOWED_PRESSURE: f64 = 0.97;
+/// Margin for fluctuations of the load after a task is placed.
+const LOAD_FLUCTUATION_MARGIN: f64 = 0.03;
+/// Limit for the expected load after a best-effort task is placed, as a ratio to the load at the
+/// target.
+const MAX_LOAD_RATIO: f64 = 0.97;
 
-/// Load up to which a task that fills is placed whatever the pressure: heavier ones are slowed before it.
-const LIGHT_LOAD: f64 = 0.03;
+/// A best-effort task that adds no more load than this is placed at any load ratio, because heavier
+/// ones on the worker are throttled before it.
+const LIGHT_ADDED_LOAD: f64 = 0.03;
 
-/// A value and how sure it is.
+/// An estimated value, its variance and the time of the last update.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Estimate {
     pub(crate) value: f64,
@@ -66,33 +77,40 @@
 }
 
 impl Estimate {
-    fn drift(&mut self, now: Instant, growth: f64, largest: f64) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.variance = (self.variance + growth * passed).min(largest);
+    fn advance(&mut self, now: Instant, growth_per_second: f64, max_variance: f64) {
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.variance = (self.variance + growth_per_second * elapsed).min(max_variance);
         self.at = now;
     }
 
-    /// Takes in the part of a surprise that falls on this value, which counted with `weight`.
-    fn correct(&mut self, surprise: f64, weight: f64, spread: f64, limits: (f64, f64)) {
-        let gain = weight * self.variance / spread;
-        self.value = (self.value + gain * surprise).clamp(limits.0, limits.1);
+    /// Applies the share of the innovation (measured minus expected load) that falls to this value,
+    /// which contributes to the expected load with `weight`.
+    fn correct(
+        &mut self,
+        innovation: f64,
+        weight: f64,
+        innovation_variance: f64,
+        limits: (f64, f64),
+    ) {
+        let gain = weight * self.variance / innovation_variance;
+        self.value = (self.value + gain * innovation).clamp(limits.0, limits.1);
         self.variance *= 1.0 - gain * weight;
     }
 }
 
-/// What a task that fills would do to the tasks that serve on a worker.
+/// Predicted effect of placing a best-effort task on a worker with serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementRisk {
-    /// The worst load that is expected, as a share of the load at the target.
+    /// The highest expected load of a serving task, as a ratio to its load at the target.
     pub load_ratio: f64,
-    /// The most that the task itself adds to a load.
+    /// The highest load that the task itself adds to a serving task.
     pub added_load: f64,
-    /// Whether a pair that was never seen is among those that decide it.
+    /// Whether there are no measurements yet for one of the pairs of images.
     pub is_unmeasured: bool,
 }
 
 impl PlacementRisk {
-    /// Whether the task puts no target in danger.
+    /// Whether all serving tasks on the worker are expected to stay within their targets.
     ///
     /// ```
     /// use greengagearch::workflow::pair_interference::PlacementRisk;
@@ -100,22 +118,23 @@
     /// assert!(PlacementRisk { load_ratio: 0.5, added_load: 0.1, is_unmeasured: false }.is_low());
     /// ```
     pub fn is_low(&self) -> bool {
-        self.load_ratio <= ALLOWED_PRESSURE || self.added_load <= LIGHT_LOAD
+        self.load_ratio <= MAX_LOAD_RATIO || self.added_load <= LIGHT_ADDED_LOAD
     }
 }
 
-/// The learner.
+/// Estimates of loads and of the load that best-effort images add to serving images.
 #[derive(Clone, Debug, Default)]
 pub struct PairInterferenceModel {
+    /// Lowest measured tail by serving image, in milliseconds.
     pub(crate) min_tails: BTreeMap<ImageName, f64>,
-    /// By job and step, whose tasks swing alike.
+    /// Load without best-effort tasks, by job and step.
     loads: BTreeMap<JobId, BTreeMap<u32, Estimate>>,
-    /// By the image that serves, then by the one that fills.
+    /// Added load by serving image, then by best-effort image.
     pub(crate) pairs: BTreeMap<ImageName, BTreeMap<ImageName, Estimate>>,
 }
 
 impl PairInterferenceModel {
-    /// Learns from the tails that a worker has just reported.
+    /// Updates the estimates with the tails that a worker has just reported.
     ///
     /// ```
     /// use std::time::Instant;
@@ -131,18 +150,18 @@
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
             let tail = run.last_report.as_ref().map_or(0, |seen| seen.usage) as f64;
             if tail > 0.0 {
-                let least = self.min_tails.entry(run.image.clone()).or_insert(tail);
-                *least = least.min(tail);
-                tails.entry(load_key(&key.0)).or_default().push((tail, run));
+                let min_tail = self.min_tails.entry(run.image.clone()).or_insert(tail);
+                *min_tail = min_tail.min(tail);
+                tails.entry(step_key(&key.0)).or_default().push((tail, run));
             }
         }
-        let Some(fills) = measured_fills(worker, now) else {
+        let Some(best_effort) = measured_best_effort(worker, now) else {
             return;
         };
         for (key, mut tails) in tails {
             tails.sort_by(|a, b| a.0.total_cmp(&b.0));
             let (tail, run) = tails[(tails.len() - 1) / 2];
-            self.learn_tail(key, run, tail, &fills, now);
+            self.learn_tail(key, run, tail, &best_effort, now);
         }
     }
 
@@ -151,36 +170,38 @@
         key: (JobId, u32),
         run: &AssignedRun,
         tail: f64,
-        fills: &BTreeMap<ImageName, f64>,
+        best_effort: &BTreeMap<ImageName, f64>,
         now: Instant,
     ) {
-        let measured = (1.0 - self.idle_tail(run) / tail).clamp(0.0, LARGEST_LOAD);
-        let first = Estimate { value: FIRST_LOAD, variance: FIRST_LOAD_VARIANCE, at: now };
+        let measured = (1.0 - self.idle_tail(run) / tail).clamp(0.0, MAX_LOAD);
+        let initial = Estimate { value: INITIAL_LOAD, variance: INITIAL_LOAD_VARIANCE, at: now };
         let (job, step) = key;
-        let load = self.loads.entry(job).or_default().entry(step).or_insert(first);
-        load.drift(now, LOAD_DRIFT, FIRST_LOAD_VARIANCE);
-        let noise = SAMPLE_VARIANCE + (TAIL_NOISE * (1.0 - measured)).powi(2);
-        let (mut expected, mut spread) = (load.value, load.variance + noise);
+        let load = self.loads.entry(job).or_default().entry(step).or_insert(initial);
+        load.advance(now, LOAD_VARIANCE_GROWTH, INITIAL_LOAD_VARIANCE);
+        let sample_variance =
+            BASE_SAMPLE_VARIANCE + (TAIL_RELATIVE_DEVIATION * (1.0 - measured)).powi(2);
+        let (mut expected, mut innovation_variance) = (load.value, load.variance + sample_variance);
         let pairs = self.pairs.entry(run.image.clone()).or_default();
-        for (image, weight) in fills {
-            let first = Estimate { value: FIRST_ADDED, variance: FIRST_ADDED_VARIANCE, at: now };
-            let pair = pairs.entry(image.clone()).or_insert(first);
-            pair.drift(now, ADDED_DRIFT, FIRST_ADDED_VARIANCE);
+        for (image, weight) in best_effort {
+            let initial =
+                Estimate { value: INITIAL_ADDED_LOAD, variance: INITIAL_ADDED_VARIANCE, at: now };
+            let pair = pairs.entry(image.clone()).or_insert(initial);
+            pair.advance(now, ADDED_VARIANCE_GROWTH, INITIAL_ADDED_VARIANCE);
             expected += weight * pair.value;
-            spread += weight * weight * pair.variance;
+            innovation_variance += weight * weight * pair.variance;
         }
-        // Tails are cut off where queues grow without end; how far the load is beyond is not seen.
-        let is_saturated = measured > SATURATED_LOAD && expected < measured;
-        let surprise = measured - expected + if is_saturated { SATURATION_EXCESS } else { 0.0 };
-        load.correct(surprise, 1.0, spread, (0.0, LARGEST_LOAD));
-        for (image, weight) in fills {
+        // The tail of a saturated queue is truncated, so that it does not show the full load.
+        let is_truncated = measured > SATURATED_LOAD && expected < measured;
+        let innovation = measured - expected + if is_truncated { SATURATION_EXCESS } else { 0.0 };
+        load.correct(innovation, 1.0, innovation_variance, (0.0, MAX_LOAD));
+        for (image, weight) in best_effort {
             if let Some(pair) = pairs.get_mut(image) {
-                pair.correct(surprise, *weight, spread, (0.0, 2.0));
+                pair.correct(innovation, *weight, innovation_variance, (0.0, 2.0));
             }
         }
     }
 
-    /// Forgets the loads of a job that has ended.
+    /// Removes the load estimates of a job that has ended.
     ///
     /// ```
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
@@ -191,7 +212,7 @@
         self.loads.remove(job);
     }
 
-    /// The tail of a serving run without any load, in milliseconds.
+    /// The tail latency of a serving run without load, in milliseconds.
     ///
     /// ```
     /// use std::time::Instant;
@@ -210,21 +231,24 @@
     /// assert_eq!(PairInterferenceModel::default().idle_tail(run), 10.0);
     /// ```
     pub fn idle_tail(&self, run: &AssignedRun) -> f64 {
-        let least = self.min_tails.get(&run.image);
-        least.map_or(run.target_ms as f64 * FIRST_IDLE_SHARE, |least| least * IDLE_SHARE)
+        let min_tail = self.min_tails.get(&run.image);
+        min_tail.map_or(run.target_ms as f64 * INITIAL_IDLE_TAIL_SHARE, |min_tail| {
+            min_tail * IDLE_TAIL_SHARE
+        })
     }
 
-    /// The tail of an image that serves without any load, in milliseconds; zero when none was seen.
+    /// The tail latency of a serving image without load, in milliseconds; zero before any tail is
+    /// measured.
     ///
     /// ```
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
     /// assert_eq!(model.idle_tail_of_image("x"), 0.0);
     /// ```
     pub fn idle_tail_of_image(&self, image: &str) -> f64 {
-        self.min_tails.get(image).map_or(0.0, |least| least * IDLE_SHARE)
+        self.min_tails.get(image).map_or(0.0, |min_tail| min_tail * IDLE_TAIL_SHARE)
     }
 
-    /// What a task of an image that fills would do on a worker.
+    /// Predicts the effect of placing a best-effort task of an image on a worker.
     ///
     /// ```
     /// use std::time::Instant;
@@ -240,24 +264,25 @@
         let mut risk = PlacementRisk { load_ratio: 0.0, added_load: 0.0, is_unmeasured: false };
         let mut last_step = None;
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
-            // Tasks of one step come one after another, and one says what all do.
+            // Tasks of one step are adjacent and have the same load, so that one of them suffices.
             let step = Some((key.0.job.as_str(), key.0.step));
             if std::mem::replace(&mut last_step, step) == step {
                 continue;
             }
-            let load = self.load(&key.0).map_or(FIRST_LOAD, |load| load.value);
-            let fills = worker.assigned.values().filter(|other| other.best_effort);
-            let added: f64 = fills.map(|other| self.added(&run.image, &other.image)).sum();
-            let own = self.added(&run.image, image);
-            let expected = load + SWING_ROOM + added + own;
-            risk.added_load = risk.added_load.max(own);
+            let load = self.load(&key.0).map_or(INITIAL_LOAD, |load| load.value);
+            let best_effort = worker.assigned.values().filter(|other| other.best_effort);
+            let added: f64 = best_effort.map(|other| self.added(&run.image, &other.image)).sum();
+            let added_by_task = self.added(&run.image, image);
+            let expected = load + LOAD_FLUCTUATION_MARGIN + added + added_by_task;
+            risk.added_load = risk.added_load.max(added_by_task);
             risk.load_ratio = risk.load_ratio.max(expected / self.target_load(run));
             risk.is_unmeasured |= self.pair(&run.image, image).is_none();
         }
         risk
     }
 
-    /// What one task of an image that fills adds to the loads of the images that it was seen beside.
+    /// The load that one task of a best-effort image adds to each serving image for which there are
+    /// measurements.
     ///
     /// ```
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
@@ -271,7 +296,7 @@
         self.pairs.iter().filter_map(effect).collect()
     }
 
-    /// All pairs that were learned, as `serving/filling=load`, for the log.
+    /// All known pairs as `serving/best-effort=load`, for the log.
     ///
     /// ```
     /// let model = greengagearch::workflow::pair_interference::PairInterferenceModel::default();
@@ -284,10 +309,10 @@
         pairs.collect::<Vec<String>>().join(" ")
     }
 
-    /// All pairs: the image that serves, the one that fills, and what is known of them.
+    /// Iterates over all known pairs: serving image, best-effort image and added load.
     pub(crate) fn each_pair(&self) -> impl Iterator<Item = (&ImageName, &ImageName, &Estimate)> {
         self.pairs.iter().flat_map(|(serving, pairs)| {
-            pairs.iter().map(move |(filling, pair)| (serving, filling, pair))
+            pairs.iter().map(move |(best_effort, pair)| (serving, best_effort, pair))
         })
     }
 
@@ -295,46 +320,47 @@
         self.loads.get(&task.job)?.get(&task.step)
     }
 
-    fn pair(&self, serving: &str, filling: &str) -> Option<&Estimate> {
-        self.pairs.get(serving)?.get(filling)
+    fn pair(&self, serving: &str, best_effort: &str) -> Option<&Estimate> {
+        self.pairs.get(serving)?.get(best_effort)
     }
 
     fn added(&self, serving: &str, image: &str) -> f64 {
-        self.pair(serving, image).map_or(FIRST_ADDED, |pair| pair.value)
+        self.pair(serving, image).map_or(INITIAL_ADDED_LOAD, |pair| pair.value)
     }
 
-    /// The load at which a run's tail is at its target.
+    /// The load at which the tail latency of a run equals its target.
     fn target_load(&self, run: &AssignedRun) -> f64 {
         (1.0 - self.idle_tail(run) / run.target_ms as f64).max(0.1)
     }
 }
 
-/// The step whose tasks share a load.
-fn load_key(name: &TaskName) -> (JobId, u32) {
+/// The job and step for which a load is estimated.
+fn step_key(name: &TaskName) -> (JobId, u32) {
     (name.job.clone(), name.step)
 }
 
-/// Tasks that filled on a worker in the span that its newest tails tell of, by image, one at half pace as one
-/// half; nothing when one of them ran for a part of the span that counts neither in full nor not at all.
-fn measured_fills(worker: &WorkerEntry, now: Instant) -> Option<BTreeMap<ImageName, f64>> {
-    let span_start = now.checked_sub(MEASURED_SPAN)?;
-    let mut fills = BTreeMap::new();
+/// Best-effort tasks in the measurement window before `now`, by image and weighted by their pace: a
+/// task at half pace counts as 0.5. `None` if a task ran for a part of the window that is neither
+/// short enough to be ignored nor long enough to count in full.
+fn measured_best_effort(worker: &WorkerEntry, now: Instant) -> Option<BTreeMap<ImageName, f64>> {
+    let window_start = now.checked_sub(MEASUREMENT_WINDOW)?;
+    let mut best_effort = BTreeMap::new();
     let mut add = |image: &str, begin: Instant, end: Instant, percent: u32| {
-        let overlap = end.min(now).saturating_duration_since(begin.max(span_start));
+        let overlap = end.min(now).saturating_duration_since(begin.max(window_start));
         if overlap >= FULL_OVERLAP {
-            *fills.entry(image.to_string()).or_default() += f64::from(percent) / 100.0;
+            *best_effort.entry(image.to_string()).or_default() += f64::from(percent) / 100.0;
         }
-        overlap >= FULL_OVERLAP || overlap < LEAST_OVERLAP
+        overlap >= FULL_OVERLAP || overlap < MIN_OVERLAP
     };
-    let mut is_clear = true;
+    let mut is_unambiguous = true;
     for run in worker.assigned.values().filter(|run| run.best_effort) {
         if let Some(begin) = run.first_reported_at {
             let measured = run.last_report.as_ref().map_or(0, |seen| seen.measured_percent);
-            is_clear &= add(&run.image, begin, now, measured);
+            is_unambiguous &= add(&run.image, begin, now, measured);
         }
     }
     for ended in &worker.ended_best_effort {
-        is_clear &= add(&ended.image, ended.started_at, ended.ended_at, ended.pace_percent);
+        is_unambiguous &= add(&ended.image, ended.started_at, ended.ended_at, ended.pace_percent);
     }
-    is_clear.then_some(fills)
+    is_unambiguous.then_some(best_effort)
 }
--- a/src/workflow/run_pace.rs
+++ b/src/workflow/run_pace.rs
@@ -1,117 +1,126 @@
-//! The pace of one run that fills: what was ordered last, whether that counts, and the mean over the measured span.
+//! The pace of one best-effort run: the last ordered pace, whether it is certain to be in effect,
+//! and the mean over the measurement window.
 //!
-//! A call without an answer may be carried out after newer ones. For as long as that is possible the newest pace is ordered again and again.
+//! A call that was not answered may still be executed after newer ones. The newest pace is
+//! therefore ordered periodically for as long as that is possible.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::workflow::pair_interference::MEASURED_SPAN;
+use crate::workflow::pair_interference::MEASUREMENT_WINDOW;
 
-/// Part of a possible rise that is taken at once; the rest follows when tails have shown the first part.
-const RISE_SHARE: f64 = 0.7;
-/// Time until an ordered pace has its effect: the platform's bound and a call on the own host.
-const PACE_LAG: Duration = Duration::from_millis(120);
-/// Least change of pace that is ordered.
-const LEAST_CHANGE: f64 = 0.05;
-/// Time for which a call without an answer may still be carried out.
-const LATE_SPAN: Duration = Duration::from_secs(12);
-/// Time between two orders of one pace while an older one may be carried out late.
+/// Part of an allowed increase that is ordered at once. The rest follows when measured tails show
+/// the effect of the first part.
+const INCREASE_SHARE: f64 = 0.7;
+/// Time until an ordered pace takes effect: the bound that the platform states plus a call on the
+/// same host.
+const EFFECT_DELAY: Duration = Duration::from_millis(120);
+/// Changes that are smaller are not ordered, except to full pace or to zero.
+const MIN_CHANGE: f64 = 0.05;
+/// Time after which a call that was not answered can no longer be executed.
+const MAX_CALL_DELAY: Duration = Duration::from_secs(12);
+/// Time between two orders of the same pace while an older one may still be executed.
 const REPEAT_PERIOD: Duration = Duration::from_millis(500);
 
 /// The pace of one run as a share of its full speed.
 #[derive(Clone, Debug)]
 pub(super) struct RunPace {
-    /// What was ordered last.
+    /// The last ordered pace.
     ordered: f64,
-    /// When that was.
+    /// When it was ordered.
     ordered_at: Instant,
-    /// Whether the run may work at another pace than that.
-    is_in_doubt: bool,
-    /// Up to when an order without an answer may take the place of newer ones.
-    late_until: Option<Instant>,
-    /// Paces and since when each has its effect.
-    past: VecDeque<(Instant, f64)>,
+    /// Whether another pace may be in effect.
+    is_uncertain: bool,
+    /// Until when an unanswered order may still replace newer ones.
+    unanswered_until: Option<Instant>,
+    /// Ordered paces with the time from which each is in effect.
+    history: VecDeque<(Instant, f64)>,
 }
 
 impl RunPace {
-    /// The pace of a run that nobody has paced.
+    /// A newly started run, which has full pace.
     pub(super) fn started(now: Instant) -> RunPace {
         RunPace {
             ordered: 1.0,
             ordered_at: now,
-            is_in_doubt: false,
-            late_until: None,
-            past: VecDeque::from([(now, 1.0)]),
+            is_uncertain: false,
+            unanswered_until: None,
+            history: VecDeque::from([(now, 1.0)]),
         }
     }
 
-    /// The pace of a run that another agent may have paced, with calls that may still be carried out. It counts as still, so that it
-    /// rises in parts: at full pace at once it might harm.
+    /// A run whose pace a previous agent may have set with calls that may still be executed. It
+    /// counts as paused, so that its pace is increased gradually: an immediate full pace might slow
+    /// down serving tasks.
     pub(super) fn inherited(now: Instant) -> RunPace {
         RunPace {
             ordered: 0.0,
-            is_in_doubt: true,
-            late_until: Some(now + LATE_SPAN),
-            past: VecDeque::from([(now, 0.0)]),
+            is_uncertain: true,
+            unanswered_until: Some(now + MAX_CALL_DELAY),
+            history: VecDeque::from([(now, 0.0)]),
             ..RunPace::started(now)
         }
     }
 
-    /// What was ordered last.
+    /// The last ordered pace.
     pub(super) fn ordered(&self) -> f64 {
         self.ordered
     }
 
-    /// The pace to order next, if one has to be ordered. Rises are taken in parts, and only when they may be.
-    pub(super) fn next(&self, allowed: f64, may_rise: bool, now: Instant) -> Option<f64> {
-        let rise = (allowed - self.ordered).max(0.0);
-        if rise > 0.0 && !may_rise {
+    /// The pace to be ordered next, if any. An increase is ordered in parts, and only if
+    /// `may_raise`.
+    pub(super) fn next(&self, allowed: f64, may_raise: bool, now: Instant) -> Option<f64> {
+        let increase = (allowed - self.ordered).max(0.0);
+        if increase > 0.0 && !may_raise {
             return None;
         }
-        let wanted = if rise > LEAST_CHANGE { self.ordered + rise * RISE_SHARE } else { allowed };
-        let is_end = wanted != self.ordered && (wanted == 1.0 || wanted == 0.0);
-        let is_change = (self.ordered - wanted).abs() >= LEAST_CHANGE || is_end;
-        (is_change || self.is_in_doubt || self.is_repeat_due(now)).then_some(wanted)
+        let next_pace =
+            if increase > MIN_CHANGE { self.ordered + increase * INCREASE_SHARE } else { allowed };
+        let reaches_limit = next_pace != self.ordered && (next_pace == 1.0 || next_pace == 0.0);
+        let is_change = (self.ordered - next_pace).abs() >= MIN_CHANGE || reaches_limit;
+        (is_change || self.is_uncertain || self.is_repeat_due(now)).then_some(next_pace)
     }
 
-    /// Whether the pace has to be ordered again, since an older order may have taken its place.
+    /// Whether the pace has to be ordered again because an older order may have replaced it.
     fn is_repeat_due(&self, now: Instant) -> bool {
-        let is_late_possible = self.late_until.is_some_and(|until| now < until + REPEAT_PERIOD);
-        is_late_possible && now.saturating_duration_since(self.ordered_at) >= REPEAT_PERIOD
+        let may_be_replaced =
+            self.unanswered_until.is_some_and(|until| now < until + REPEAT_PERIOD);
+        may_be_replaced && now.saturating_duration_since(self.ordered_at) >= REPEAT_PERIOD
     }
 
-    /// Takes note that this pace is ordered.
+    /// Records that a pace is ordered.
     pub(super) fn order(&mut self, pace: f64, now: Instant) {
         self.ordered = pace;
         self.ordered_at = now;
-        self.is_in_doubt = false;
-        self.past.push_back((now + PACE_LAG, pace));
-        let span_start = now.checked_sub(MEASURED_SPAN).unwrap_or(now);
-        while self.past.get(1).is_some_and(|(since, _)| *since <= span_start) {
-            self.past.pop_front();
+        self.is_uncertain = false;
+        self.history.push_back((now + EFFECT_DELAY, pace));
+        let window_start = now.checked_sub(MEASUREMENT_WINDOW).unwrap_or(now);
+        while self.history.get(1).is_some_and(|(since, _)| *since <= window_start) {
+            self.history.pop_front();
         }
     }
 
-    /// Takes note that the run may work at another pace than was ordered last, which is ordered again.
-    pub(super) fn doubt(&mut self) {
-        self.is_in_doubt = true;
+    /// Records that another pace may be in effect, so that the last ordered pace is ordered again.
+    pub(super) fn mark_uncertain(&mut self) {
+        self.is_uncertain = true;
     }
 
-    /// Takes note that an order got no answer and may still be carried out.
+    /// Records that an order was not answered and may still be executed.
     pub(super) fn on_unanswered(&mut self, now: Instant) {
-        self.is_in_doubt = true;
-        self.late_until = Some(now + LATE_SPAN);
+        self.is_uncertain = true;
+        self.unanswered_until = Some(now + MAX_CALL_DELAY);
     }
 
-    /// The mean pace over the measured span before `now`; before its start a run works at no pace.
+    /// The mean pace over the measurement window before `now`; the pace before the start of the run
+    /// is zero.
     pub(super) fn mean(&self, now: Instant) -> f64 {
-        let span_start = now.checked_sub(MEASURED_SPAN).unwrap_or(now);
-        let ends = self.past.iter().skip(1).map(|(since, _)| *since).chain([now]);
-        let parts = self.past.iter().zip(ends).map(|((since, pace), end)| {
-            let begin = (*since).max(span_start);
+        let window_start = now.checked_sub(MEASUREMENT_WINDOW).unwrap_or(now);
+        let ends = self.history.iter().skip(1).map(|(since, _)| *since).chain([now]);
+        let parts = self.history.iter().zip(ends).map(|((since, pace), end)| {
+            let begin = (*since).max(window_start);
             pace * end.min(now).saturating_duration_since(begin).as_secs_f64()
         });
-        parts.sum::<f64>() / MEASURED_SPAN.as_secs_f64()
+        parts.sum::<f64>() / MEASUREMENT_WINDOW.as_secs_f64()
     }
 }
--- a/src/workflow/target_violations.rs
+++ b/src/workflow/target_violations.rs
@@ -1,7 +1,8 @@
-//! Tasks that serve and stay over their target, each by itself.
+//! Serving tasks whose tail latency exceeds their target for long.
 //!
-//! One measured tail that is over its target says little. A task whose tail stays there is harmed by what fills beside it, unless it
-//! stays there while the fills stand still.
+//! A single measured tail above the target is not significant. A task whose tail stays above it is
+//! assumed to suffer from the best-effort runs on its worker, unless it stays there while they are
+//! paused. Such a task limits their pace on its own, besides the group of its step.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,23 +14,26 @@
 use crate::workflow::task_name::TaskName;
 use crate::workflow::worker_board::RunKey;
 
-/// Time over its target after which a task counts by itself: three measured spans, and well within the seconds that callers bear.
+/// Time above the target after which a violation is sustained: three measurement windows, and well
+/// within the seconds that callers tolerate.
 const MIN_VIOLATION_DURATION: Duration = Duration::from_millis(1_500);
-/// Time for which it does so after it was over its target last, so that fills settle at what it bears.
+/// Time after the end of a sustained violation for which the task still limits the best-effort
+/// runs, so that their paces settle at a level that it tolerates.
 const MITIGATION_PERIOD: Duration = Duration::from_secs(10);
-/// Time for which fills are not slowed again for a task that was over its target while they stood still.
+/// Time for which best-effort runs are not throttled for a task that exceeded its target while they
+/// were paused.
 const EXONERATION_PERIOD: Duration = Duration::from_secs(10);
 
-/// A task that is over its target, or was of late.
+/// State of a task that exceeds its target or did so recently.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunViolation {
-    /// Since when it is over its target.
+    /// Since when the task has exceeded its target without interruption.
     since: Option<Instant>,
-    /// Whether the log has been told.
+    /// Whether the violation was reported as sustained.
     is_reported: bool,
-    /// Up to when it counts by itself.
+    /// Until when the task limits the best-effort runs on its own.
     mitigated_until: Option<Instant>,
-    /// Up to when fills are taken not to be the cause.
+    /// Until when best-effort runs are assumed not to be the cause.
     exonerated_until: Option<Instant>,
 }
 
@@ -60,18 +64,18 @@
     }
 }
 
-/// A task that has been over its target for long, as the log tells it.
+/// A violation that has become sustained, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SustainedViolation {
     /// The task.
     pub task: TaskName,
     /// Its tail latency in milliseconds.
     pub tail_ms: u64,
-    /// Its bound.
+    /// Its target in milliseconds.
     pub target_ms: u64,
 }
 
-/// The tasks on one worker that are over their targets.
+/// Current and recent violations of tail-latency targets on one worker.
 #[derive(Clone, Debug, Default)]
 pub struct TargetViolations {
     runs: BTreeMap<RunKey, RunViolation>,
@@ -79,7 +83,7 @@
 }
 
 impl TargetViolations {
-    /// Takes in what runs on the worker.
+    /// Records the tails of the runs on the worker.
     ///
     /// ```
     /// use std::collections::HashMap;
@@ -120,7 +124,8 @@
         self.runs = runs;
     }
 
-    /// Takes note that fills have stood still over the measured span: a task that is over its target all the same is so by its own load.
+    /// Records that all best-effort runs were paused during the measurement window. A task that
+    /// exceeds its target nevertheless does so because of its own load.
     ///
     /// ```
     /// use std::time::Instant;
@@ -133,8 +138,9 @@
         }
     }
 
-    /// Whether a run counts by itself: it was over its target for long, and fills may be the cause. They are where `is_caused_by_best_effort`, as the
-    /// model has it, and else where they have not been cleared.
+    /// Whether best-effort runs have to be throttled for this run: it has exceeded its target for
+    /// long, and they may be the cause. They may be if they were not exonerated or if the model
+    /// attributes the violation to them, which `is_caused_by_best_effort` evaluates.
     ///
     /// ```
     /// use std::time::Instant;
@@ -155,7 +161,7 @@
             .is_some_and(|violation| !violation.is_exonerated(now) || is_caused_by_best_effort())
     }
 
-    /// Whether no task is over its target or was of late.
+    /// Whether there is neither a current nor a recent violation.
     ///
     /// ```
     /// assert!(greengagearch::workflow::target_violations::TargetViolations::default().is_empty());
@@ -164,7 +170,7 @@
         self.runs.is_empty()
     }
 
-    /// Tasks that have newly been over their targets for long.
+    /// Removes and returns the violations that have become sustained since the last call.
     ///
     /// ```
     /// assert!(greengagearch::workflow::target_violations::TargetViolations::default().take_new_violations().is_empty());
