--- a/src/workflow/grant.rs
+++ b/src/workflow/grant.rs
@@ -1,27 +1,29 @@
-//! How long leases on workers may last, and when they have surely expired.
+//! Durations of worker leases and the times by which they have certainly expired.
 //!
-//! A planner is sure of its ownership as of the moment at which it *sent* a write or read that the
-//! store answered under its epoch. A grant reaches no further than [`OWNERSHIP_VALIDITY`] after that moment, and
-//! counts from a time that the agent itself has sent, so that neither a delayed message nor a pause can
-//! stretch it. A takeover is written after every such moment of the planner before; hence everything
-//! that was granted before has expired one span, stretched by the drift of clocks, after the
-//! takeover's answer.
+//! A planner's ownership is confirmed as of the time at which it *sent* a store call that was
+//! answered under its epoch. Leases granted under it end no later than [`OWNERSHIP_VALIDITY`] after
+//! that time. Their duration counts from a time stamp that the agent itself has sent, so that
+//! neither a delayed message nor a paused process extends them. A takeover is written after the
+//! last confirmation of the previous planner. All of its leases have therefore expired one validity
+//! period after the answer to the takeover, extended by the drift of the clocks.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Longest time from a confirmed_at of ownership to the end of leases granted under it. A little less than
-/// [`MAX_LEASE`] is used in full and outlives a usual outage of the store.
+/// Longest time from a confirmation of the ownership to the end of leases granted under it. It is
+/// slightly less than [`MAX_LEASE`], so that runners do not shorten it, and longer than a typical
+/// outage of the store.
 pub const OWNERSHIP_VALIDITY: Duration = Duration::from_millis(9_600);
-/// Longest lease that a runner keeps, whatever it is given.
+/// Longest lease that a runner accepts; it shortens longer ones.
 pub const MAX_LEASE: Duration = Duration::from_secs(10);
-/// How much slower than ours a runner's clock may be: 2 % by the platform's word, and 1 % between
-/// the steady clocks of the planner's and the agent's hosts.
-const CLOCK_DRIFT: f64 = 0.031;
-/// Time for the steps that are not covered by the drift, such as rounding to milliseconds.
+/// Relative amount by which a runner's clock may be slower than the planner's: 2 % as specified by
+/// the platform, and 1 % between the monotonic clocks of the planner's and the agent's hosts.
+const MAX_CLOCK_DRIFT: f64 = 0.031;
+/// Allowance for errors that do not grow with time, such as rounding to milliseconds.
 const ROUNDING_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// How long after `received`, the arrival of an agent's time stamp, leases may last.
+/// Longest duration of a lease from `received`, the time at which an agent's time stamp arrived, if
+/// the ownership was last confirmed at `confirmed_at`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -38,7 +40,8 @@
     (confirmed_at + OWNERSHIP_VALIDITY).saturating_duration_since(received)
 }
 
-/// When leases that were granted up to `end` have surely expired on the runner's slow clock.
+/// Time by which a lease of duration `span` from `from` has certainly expired, even on a runner
+/// with the slowest allowed clock.
 ///
 /// ```
 /// use std::time::Duration;
@@ -50,11 +53,11 @@
 /// assert!(expired_by(now, Duration::from_secs(10)) > now + Duration::from_secs(10));
 /// ```
 pub fn expired_by(from: Instant, span: Duration) -> Instant {
-    from + span.mul_f64(1.0 + CLOCK_DRIFT) + ROUNDING_ALLOWANCE
+    from + span.mul_f64(1.0 + MAX_CLOCK_DRIFT) + ROUNDING_ALLOWANCE
 }
 
-/// When everything that planners before granted has surely expired, for a takeover that the store
-/// answered at `answered`.
+/// Time by which all leases of previous planners have certainly expired, if the store answered the
+/// takeover at `answered`.
 ///
 /// ```
 /// use std::time::Instant;
--- a/src/workflow/remaining_work.rs
+++ b/src/workflow/remaining_work.rs
@@ -1,17 +1,17 @@
-//! What is left of a job and by when it has to be done, as its urgency is judged.
+//! Remaining work of a job and its time objective, from which its urgency is derived.
 
 use crate::workflow::job_forecast::TaskPosition;
 use crate::workflow::planner_jobs::JobEntry;
 use crate::workflow::spec::StepSpec;
 
-/// What is left of the occurrence of a job that is worked on.
+/// Remaining work of the first open occurrence of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RemainingWork {
-    /// The longest chain of work that is left, in milliseconds at full pace.
+    /// Critical path: the longest remaining chain of dependent steps, in milliseconds at full pace.
     pub critical_path_ms: u64,
-    /// All work that is left, in core-milliseconds.
+    /// Total remaining work in core-milliseconds.
     pub remaining_core_ms: u64,
-    /// Time from when the job is due until it has to be done to be in time, in milliseconds.
+    /// Time after the due time within which the job has to be completed, in milliseconds.
     pub objective_ms: u64,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The longest chain of steps, each of which takes so long.
+/// Length of the longest chain of dependent steps with the given durations.
 fn critical_path(steps: &[StepSpec], durations: &[f64]) -> f64 {
     let mut finish_times: Vec<f64> = Vec::with_capacity(steps.len());
     for (step, duration) in steps.iter().zip(durations) {
--- a/src/workflow/reservation.rs
+++ b/src/workflow/reservation.rs
@@ -1,7 +1,7 @@
-//! Room on a worker that is kept for tasks that are on their way to it.
+//! Resources on a worker that are reserved for tasks that are about to move to it.
 //!
-//! A task that is moved is stopped first, which takes up to a second. Without its new place kept, others take it
-//! meanwhile, and the task has been stopped for nothing.
+//! A task is stopped before it moves, which takes up to a second. Without a reservation, other
+//! tasks may take the resources meanwhile, so that the task was stopped in vain.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,25 +10,27 @@
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
 
-/// Room that is kept for one task.
+/// Resources reserved for one task.
 #[derive(Clone, Debug, PartialEq)]
 struct Reservation {
     task: TaskName,
-    /// Guarded capacity.
+    /// Allocatable capacity.
     resources: ResourceVector,
-    /// Processor time that it is to fill, in thousandths of a core.
+    /// Processor time that a best-effort task will use, in thousandths of a core; zero for other
+    /// tasks.
     best_effort_millicores: u64,
     until: Instant,
 }
 
-/// All room that is kept on one worker.
+/// All reservations on one worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reservations {
     reservations: Vec<Reservation>,
 }
 
 impl Reservations {
-    /// Keeps room for a task for some time, and forgets what was kept long enough.
+    /// Reserves resources for a task of `step` until `span` after `now`, and removes expired
+    /// reservations.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,7 +58,7 @@
         });
     }
 
-    /// Keeps nothing any more for a task that has come, or is not to come.
+    /// Removes the reservation for a task.
     ///
     /// ```
     /// let mut reservations = greengagearch::workflow::reservation::Reservations::default();
@@ -66,7 +68,7 @@
         self.reservations.retain(|reservation| reservation.task != *task);
     }
 
-    /// Whether room is kept for a task.
+    /// Whether there is an unexpired reservation for a task.
     ///
     /// ```
     /// use std::time::Instant;
@@ -80,7 +82,7 @@
             .any(|reservation| reservation.until > now && reservation.task == *task)
     }
 
-    /// Tasks for which room is kept.
+    /// Tasks with an unexpired reservation.
     ///
     /// ```
     /// use std::time::Instant;
@@ -95,7 +97,7 @@
             .map(|reservation| &reservation.task)
     }
 
-    /// Of some room what is left to a task when room is kept for others.
+    /// The part of `resources` that a task may use: what the reservations for other tasks leave.
     ///
     /// ```
     /// use std::time::Instant;
@@ -116,7 +118,8 @@
             .fold(resources, |resources, reservation| resources.minus(&reservation.resources))
     }
 
-    /// Processor time that others are to fill, in thousandths of a core.
+    /// Processor time reserved for the best-effort tasks other than `task`, in thousandths of a
+    /// core.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -1,7 +1,8 @@
-//! Needs for which a round of planning has found no worker.
+//! Placement requests for which the current planning round has found no worker.
 //!
-//! With hundreds of jobs that wait, most ask for what another one has just not found. Room only shrinks within a
-//! round, so that whoever asks for as much or more of the same kind is not searched for again.
+//! With hundreds of waiting jobs, most requests resemble one that was just found unplaceable. Free
+//! resources only shrink within a round. A request for the same or more resources of the same kind
+//! is therefore skipped without a search.
 
 use crate::ids::ImageName;
 use crate::ids::ServiceName;
@@ -9,7 +10,7 @@
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::spec::ResourceVector;
 
-/// What was not found in a round.
+/// The unplaceable requests of the current round.
 #[derive(Debug, Default)]
 pub(crate) struct UnplaceableRequests {
     known: Vec<UnplaceableRequest>,
@@ -19,46 +20,46 @@
 struct UnplaceableRequest {
     service: ServiceName,
     required_label: String,
-    /// Of tasks that fill: their image, and how far they may go.
-    filling: Option<(ImageName, RiskLimit)>,
+    /// Image and risk limit of a best-effort task; `None` for other tasks.
+    best_effort: Option<(ImageName, RiskLimit)>,
     resources: ResourceVector,
 }
 
 impl UnplaceableRequests {
-    /// Whether nothing will be found in this round.
-    pub(crate) fn covers(&self, need: &PlacementNeed<'_>) -> bool {
-        is_shared(need) && self.known.iter().any(|known| known.covers(need))
+    /// Whether a request is known to be unplaceable in this round.
+    pub(crate) fn covers(&self, request: &PlacementNeed<'_>) -> bool {
+        is_generic(request) && self.known.iter().any(|known| known.covers(request))
     }
 
-    /// Takes note that nothing was found.
-    pub(crate) fn add(&mut self, need: &PlacementNeed<'_>) {
-        if is_shared(need) {
+    /// Records that no worker was found for a request.
+    pub(crate) fn add(&mut self, request: &PlacementNeed<'_>) {
+        if is_generic(request) {
             self.known.push(UnplaceableRequest {
-                service: need.service.to_string(),
-                required_label: need.step.required_label.clone(),
-                filling: filling_of(need).map(|(image, risk)| (image.to_string(), risk)),
-                resources: need.step.resources,
+                service: request.service.to_string(),
+                required_label: request.step.required_label.clone(),
+                best_effort: best_effort_of(request).map(|(image, risk)| (image.to_string(), risk)),
+                resources: request.step.resources,
             });
         }
     }
 }
 
 impl UnplaceableRequest {
-    fn covers(&self, need: &PlacementNeed<'_>) -> bool {
-        let filling = self.filling.as_ref().map(|(image, risk)| (image.as_str(), *risk));
-        self.service == need.service
-            && self.required_label == need.step.required_label
-            && filling == filling_of(need)
-            && need.step.resources.contains(&self.resources)
+    fn covers(&self, request: &PlacementNeed<'_>) -> bool {
+        let best_effort = self.best_effort.as_ref().map(|(image, risk)| (image.as_str(), *risk));
+        self.service == request.service
+            && self.required_label == request.step.required_label
+            && best_effort == best_effort_of(request)
+            && request.step.resources.contains(&self.resources)
     }
 }
 
-fn filling_of<'a>(need: &PlacementNeed<'a>) -> Option<(&'a str, RiskLimit)> {
-    need.step.best_effort.then_some((need.step.image.as_str(), need.risk))
+fn best_effort_of<'a>(request: &PlacementNeed<'a>) -> Option<(&'a str, RiskLimit)> {
+    request.step.best_effort.then_some((request.step.image.as_str(), request.risk))
 }
 
-/// Whether a need depends on nothing that is its task's alone.
-fn is_shared(need: &PlacementNeed<'_>) -> bool {
-    let is_free = need.rack.is_none() && need.not_on.is_none();
-    is_free && !need.needs_ticket && need.step.max_per_worker == 0
+/// Whether a request depends only on properties that other tasks may share.
+fn is_generic(request: &PlacementNeed<'_>) -> bool {
+    let is_unrestricted = request.rack.is_none() && request.not_on.is_none();
+    is_unrestricted && !request.needs_ticket && request.step.max_per_worker == 0
 }
--- a/src/workflow/urgency.rs
+++ b/src/workflow/urgency.rs
@@ -1,40 +1,43 @@
-//! Which jobs go before others when workers are given out.
+//! Order in which jobs get workers.
 //!
-//! When more is asked for than workers take in, equal shares make nearly all jobs late. Jobs that can still be in
-//! time go first, and of these the one with the least work left: a worker's time then brings the most jobs in time.
-//! Larger jobs are not starved for good: one of which nothing runs takes any room after a while.
+//! Under overload, a fair distribution makes nearly all jobs late. Jobs that can still meet their
+//! objective therefore come first, and among them the one with the least remaining work, so that
+//! most jobs are completed in time. Larger jobs do not starve: a job without a running task may use
+//! any free resources after a while.
 
 use crate::workflow::planner_jobs::JobEntry;
 
-/// Multiple of the objective after which a job's end is worth nothing to its caller, from the
-/// users' sheets; such jobs come last.
+/// Multiple of its objective after which a completed job has no value to its caller, as users state
+/// it. Such jobs come last.
 const WORTHLESS_AFTER_OBJECTIVES: u64 = 3;
 
-/// Share of the rest of a job that it takes at least: what is learned of durations is right to within a tenth, and
-/// siblings that are not seen yet differ.
+/// Least share of the forecast remaining time that a job is assumed to take. Forecasts have an
+/// error of a tenth, and tasks without measured progress may differ from the others of their step.
 const MIN_REMAINING_SHARE: f64 = 0.85;
 
-/// Jobs that serve and are due within this span, in milliseconds, are placed by their images.
+/// Deadlines of serving jobs are rounded down to this interval, so that jobs with nearly the same
+/// deadline are ordered by their images.
 const SERVING_DEADLINE_BUCKET_MS: u64 = 4_000;
 
-/// Place of a job in a round: smaller comes first.
+/// Sort key of a job within a planning round; the smallest comes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct JobUrgency<'a> {
     is_worthless: bool,
     is_late: bool,
     priority: u32,
-    /// Whether it takes what others leave.
+    /// Whether the job has best-effort tasks.
     is_best_effort: bool,
-    /// Work that is left, so that of jobs that compete the shortest ends first (Schrage, "A Proof of the Optimality
-    /// of the Shortest Remaining Processing Time Discipline", 1968); zero for what lasts.
+    /// Remaining work; zero for long-running jobs. The shortest of the competing jobs comes first
+    /// (Schrage, "A Proof of the Optimality of the Shortest Remaining Processing Time Discipline",
+    /// 1968).
     remaining_core_ms: u64,
     deadline_ms: u64,
-    /// What serves, so that jobs of one image that come together are placed one after another.
+    /// Image of the serving tasks, so that jobs of one image are placed one after another.
     serving_image: &'a str,
 }
 
 impl<'a> JobUrgency<'a> {
-    /// The place of a job at a time.
+    /// The sort key of a job at the time `wall_ms`, in milliseconds since the Unix epoch.
     pub(crate) fn of(entry: &'a JobEntry, wall_ms: u64) -> JobUrgency<'a> {
         let spec = &entry.spec;
         let first_open = entry.progress.open.keys().next().copied().unwrap_or(0);
@@ -44,16 +47,17 @@
         let is_long_running = spec.steps.iter().any(|step| step.long_running);
         let critical_path_ms =
             (remaining_work.critical_path_ms as f64 * MIN_REMAINING_SHARE) as u64;
-        let is_past = |multiple: u64| {
+        let exceeds = |multiple: u64| {
             !is_long_running && wall_ms + critical_path_ms > due_ms + multiple * objective_ms
         };
         let serving = spec.steps.iter().find(|step| step.target_ms > 0);
         let deadline_ms = due_ms + objective_ms;
-        // What lasts has no end that could be late; a little later does no harm.
+        // Serving tasks run until they are cancelled and cannot end late, so that a slightly later
+        // start is harmless.
         let bucket_ms = if serving.is_some() { SERVING_DEADLINE_BUCKET_MS } else { 1 };
         JobUrgency {
-            is_worthless: is_past(WORTHLESS_AFTER_OBJECTIVES),
-            is_late: is_past(1),
+            is_worthless: exceeds(WORTHLESS_AFTER_OBJECTIVES),
+            is_late: exceeds(1),
             priority: spec.policy.priority,
             is_best_effort: entry.is_best_effort(),
             remaining_core_ms: if is_long_running { 0 } else { remaining_work.remaining_core_ms },
@@ -62,7 +66,7 @@
         }
     }
 
-    /// Whether the job can no longer end within its objective.
+    /// Whether the job can no longer be completed within its objective.
     pub(crate) fn is_late(&self) -> bool {
         self.is_late
     }
