--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -67,11 +67,12 @@
     ///
     /// use greengagearch::connection::node_protocol::PresentRun;
     /// use greengagearch::workflow::spec::StepSpec;
+    /// use greengagearch::workflow::task_name::TaskName;
     /// use greengagearch::workflow::worker_board::WorkerBoard;
     ///
     /// let now = Instant::now();
     /// let mut board = WorkerBoard::default();
-    /// let key: (greengagearch::workflow::task_name::TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
+    /// let key: (TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
     /// board.assign("i-1", key.clone(), &StepSpec::default(), now, now);
     /// let run = board.get_mut("i-1").unwrap().assigned.get_mut(&key).unwrap();
     /// let report = PresentRun { pace_percent: 10, ..PresentRun::ordered(key.0, 1) };
--- a/src/workflow/learned_interference.rs
+++ b/src/workflow/learned_interference.rs
@@ -72,7 +72,8 @@
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::learned_interference::LearnedInterference;
     ///
-    /// let model = PairInterferenceModel::from_learned(LearnedInterference::default(), Instant::now());
+    /// let learned = LearnedInterference::default();
+    /// let model = PairInterferenceModel::from_learned(learned, Instant::now());
     /// assert_eq!(model.summary(), "");
     /// ```
     pub fn from_learned(learned: LearnedInterference, now: Instant) -> PairInterferenceModel {
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -118,7 +118,9 @@
     /// the best-effort runs on the worker in percent.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::pacing::PaceController::default().take_sustained_violations().is_empty());
+    /// use greengagearch::workflow::pacing::PaceController;
+    ///
+    /// assert!(PaceController::default().take_sustained_violations().is_empty());
     /// ```
     pub fn take_sustained_violations(&mut self) -> Vec<(SustainedViolation, u32)> {
         let highest = self.paces.values().map(RunPace::ordered).fold(0.0, f64::max);
@@ -135,7 +137,8 @@
     /// ```
     /// use greengagearch::workflow::pacing::PaceController;
     ///
-    /// assert_eq!(PaceController::default().ordered_percent(&("a.0.0.0".parse().unwrap(), 1)), 100);
+    /// let key = ("a.0.0.0".parse().unwrap(), 1);
+    /// assert_eq!(PaceController::default().ordered_percent(&key), 100);
     /// ```
     pub fn ordered_percent(&self, key: &RunKey) -> u32 {
         let pace = self.paces.get(key).map_or(1.0, RunPace::ordered);
@@ -164,7 +167,8 @@
     /// use greengagearch::workflow::pacing::PaceController;
     /// use greengagearch::workflow::pacing::PaceChange;
     ///
-    /// let change = PaceChange { key: ("a.0.0.0".parse().unwrap(), 1), percent: 50, tail_ratio: 1.0 };
+    /// let key = ("a.0.0.0".parse().unwrap(), 1);
+    /// let change = PaceChange { key, percent: 50, tail_ratio: 1.0 };
     /// PaceController::default().on_applied(&change);
     /// ```
     pub fn on_applied(&mut self, change: &PaceChange) {
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -38,13 +38,13 @@
 pub(crate) const INITIAL_IDLE_TAIL_SHARE: f64 = 0.2;
 /// Initial estimate of the load of a serving step.
 const INITIAL_LOAD: f64 = 0.45;
-/// Variance of the initial load estimate, which is also its upper limit.
+/// Variance of the initial load estimate; the variance never grows beyond it.
 const INITIAL_LOAD_VARIANCE: f64 = 0.04;
 /// Growth of the variance of a load estimate per second: loads change by a quarter within seconds.
 const LOAD_VARIANCE_GROWTH: f64 = 0.01;
 /// Initial estimate of the load that a best-effort task at full pace adds.
 pub(crate) const INITIAL_ADDED_LOAD: f64 = 0.12;
-/// Variance of the initial added load, which is also its upper limit.
+/// Variance of the initial added load; the variance never grows beyond it.
 const INITIAL_ADDED_VARIANCE: f64 = 0.04;
 /// Growth of the variance of an added load per second.
 const ADDED_VARIANCE_GROWTH: f64 = 0.0005;
@@ -110,7 +110,8 @@
 }
 
 impl PlacementRisk {
-    /// Whether all serving tasks on the worker are expected to stay within their targets.
+    /// Whether the task may be placed: the serving tasks are expected to stay within their targets,
+    /// or it adds little load.
     ///
     /// ```
     /// use greengagearch::workflow::pair_interference::PlacementRisk;
@@ -148,7 +149,7 @@
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
         for (key, run) in worker.assigned.iter().filter(|(_, run)| run.target_ms > 0) {
-            let tail = run.last_report.as_ref().map_or(0, |seen| seen.usage) as f64;
+            let tail = run.last_report.as_ref().map_or(0, |report| report.usage) as f64;
             if tail > 0.0 {
                 let min_tail = self.min_tails.entry(run.image.clone()).or_insert(tail);
                 *min_tail = min_tail.min(tail);
@@ -345,8 +346,8 @@
 fn measured_best_effort(worker: &WorkerEntry, now: Instant) -> Option<BTreeMap<ImageName, f64>> {
     let window_start = now.checked_sub(MEASUREMENT_WINDOW)?;
     let mut best_effort = BTreeMap::new();
-    let mut add = |image: &str, begin: Instant, end: Instant, percent: u32| {
-        let overlap = end.min(now).saturating_duration_since(begin.max(window_start));
+    let mut add = |image: &str, start: Instant, end: Instant, percent: u32| {
+        let overlap = end.min(now).saturating_duration_since(start.max(window_start));
         if overlap >= FULL_OVERLAP {
             *best_effort.entry(image.to_string()).or_default() += f64::from(percent) / 100.0;
         }
@@ -354,9 +355,9 @@
     };
     let mut is_unambiguous = true;
     for run in worker.assigned.values().filter(|run| run.best_effort) {
-        if let Some(begin) = run.first_reported_at {
-            let measured = run.last_report.as_ref().map_or(0, |seen| seen.measured_percent);
-            is_unambiguous &= add(&run.image, begin, now, measured);
+        if let Some(start) = run.first_reported_at {
+            let measured = run.last_report.as_ref().map_or(0, |report| report.measured_percent);
+            is_unambiguous &= add(&run.image, start, now, measured);
         }
     }
     for ended in &worker.ended_best_effort {
--- a/src/workflow/reservation.rs
+++ b/src/workflow/reservation.rs
@@ -105,8 +105,9 @@
     /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let reservations = greengagearch::workflow::reservation::Reservations::default();
-    /// let room = ResourceVector { millicores: 100, memory_mib: 10, accelerators: 0 };
-    /// assert_eq!(reservations.available_to(room, &"a.0.0.0".parse().unwrap(), Instant::now()), room);
+    /// let free = ResourceVector { millicores: 100, memory_mib: 10, accelerators: 0 };
+    /// let task = "a.0.0.0".parse().unwrap();
+    /// assert_eq!(reservations.available_to(free, &task, Instant::now()), free);
     /// ```
     pub fn available_to(
         &self,
@@ -125,7 +126,8 @@
     /// use std::time::Instant;
     ///
     /// let reservations = greengagearch::workflow::reservation::Reservations::default();
-    /// assert_eq!(reservations.best_effort_millicores(&"a.0.0.0".parse().unwrap(), Instant::now()), 0.0);
+    /// let task = "a.0.0.0".parse().unwrap();
+    /// assert_eq!(reservations.best_effort_millicores(&task, Instant::now()), 0.0);
     /// ```
     pub fn best_effort_millicores(&self, task: &TaskName, now: Instant) -> f64 {
         self.others(task, now).map(|reservation| reservation.best_effort_millicores as f64).sum()
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -31,8 +31,8 @@
     /// ```
     /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
-    /// assert!(room.contains(&room));
+    /// let amount = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// assert!(amount.contains(&amount));
     /// ```
     pub fn contains(&self, other: &ResourceVector) -> bool {
         other.millicores <= self.millicores
@@ -45,8 +45,8 @@
     /// ```
     /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
-    /// assert_eq!(room.plus(&room).millicores, 1_000);
+    /// let amount = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// assert_eq!(amount.plus(&amount).millicores, 1_000);
     /// ```
     pub fn plus(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
@@ -61,8 +61,8 @@
     /// ```
     /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
-    /// assert_eq!(room.minus(&room), ResourceVector::default());
+    /// let amount = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// assert_eq!(amount.minus(&amount), ResourceVector::default());
     /// ```
     pub fn minus(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
@@ -133,8 +133,8 @@
     /// use greengagearch::workflow::spec::ResourceVector;
     /// use greengagearch::workflow::spec::StepSpec;
     ///
-    /// let room = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
-    /// let step = StepSpec { resources: room, best_effort: true, ..StepSpec::default() };
+    /// let resources = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
+    /// let step = StepSpec { resources, best_effort: true, ..StepSpec::default() };
     /// assert_eq!(step.reserved_resources().millicores, 0);
     /// ```
     pub fn reserved_resources(&self) -> ResourceVector {
--- a/src/workflow/target_violations.rs
+++ b/src/workflow/target_violations.rs
@@ -130,7 +130,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::workflow::target_violations::TargetViolations::default().exonerate_best_effort(Instant::now());
+    /// use greengagearch::workflow::target_violations::TargetViolations;
+    ///
+    /// TargetViolations::default().exonerate_best_effort(Instant::now());
     /// ```
     pub fn exonerate_best_effort(&mut self, now: Instant) {
         for violation in self.runs.values_mut().filter(|violation| violation.is_sustained(now)) {
@@ -173,7 +175,9 @@
     /// Removes and returns the violations that have become sustained since the last call.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::target_violations::TargetViolations::default().take_new_violations().is_empty());
+    /// use greengagearch::workflow::target_violations::TargetViolations;
+    ///
+    /// assert!(TargetViolations::default().take_new_violations().is_empty());
     /// ```
     pub fn take_new_violations(&mut self) -> Vec<SustainedViolation> {
         std::mem::take(&mut self.new_violations)
--- a/src/workflow/task_suspicion.rs
+++ b/src/workflow/task_suspicion.rs
@@ -226,7 +226,9 @@
     /// ```
     /// use greengagearch::workflow::task_progress::TaskCrash;
     ///
-    /// let crash = |instance: &str| TaskCrash { instance: instance.to_string(), age_ms: 10, is_certain: true };
+    /// let crash = |instance: &str| {
+    ///     TaskCrash { instance: instance.to_string(), age_ms: 10, is_certain: true }
+    /// };
     /// let mut suspicion = greengagearch::workflow::task_suspicion::TaskSuspicion::default();
     /// suspicion.restore(&"a.0.0.0".parse().unwrap(), vec![crash("i-1"), crash("i-2")], true);
     /// assert!(suspicion.is_isolated(&"a.0.0.0".parse().unwrap()));
@@ -335,7 +337,9 @@
     /// ```
     /// use std::time::Instant;
     ///
-    /// greengagearch::workflow::task_suspicion::TaskSuspicion::default().on_isolated_start(Instant::now());
+    /// use greengagearch::workflow::task_suspicion::TaskSuspicion;
+    ///
+    /// TaskSuspicion::default().on_isolated_start(Instant::now());
     /// ```
     pub fn on_isolated_start(&mut self, now: Instant) {
         self.isolated_at = Some(now);
