--- a/src/process/planning/job_http.rs
+++ b/src/process/planning/job_http.rs
@@ -178,7 +178,7 @@
     match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
-        JobStatus::Ended(end) => end.word(),
+        JobStatus::Ended(end) => end.as_str(),
     }
 }
 
--- a/src/workflow/assigned_run.rs
+++ b/src/workflow/assigned_run.rs
@@ -35,7 +35,7 @@
     /// When the worker first reported it as present.
     pub first_reported_at: Option<Instant>,
     /// When the worker first reported that it had started.
-    pub begun_at: Option<Instant>,
+    pub started_at: Option<Instant>,
     /// The traits that were last sent to the agent.
     pub sent_traits: Option<TaskTraits>,
     /// Since when it has been throttled because it interferes with serving tasks.
@@ -84,7 +84,7 @@
         let has_pace_changed = previous_pace != Some(report.pace_percent);
         self.first_reported_at.get_or_insert(now);
         if report.is_begun {
-            self.begun_at.get_or_insert(now);
+            self.started_at.get_or_insert(now);
         }
         let is_throttled = self.best_effort && report.pace_percent <= MAX_THROTTLED_PERCENT;
         self.throttled_since = if is_throttled { self.throttled_since.or(Some(now)) } else { None };
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -44,7 +44,7 @@
         if is_told || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
-        let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
+        let is_certain = worker.assigned.get(&(task.clone(), run))?.started_at.is_some();
         let (max_age, min_age) = (YOUNG_SPAN, Duration::ZERO);
         self.suspect(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
@@ -99,7 +99,7 @@
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
             let proof = self.task_suspicion.clearing_age(task);
-            let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
+            let age = run.started_at.map(|begun| self.now.saturating_duration_since(begun));
             if proof.is_some_and(|proof| age.is_some_and(|age| age >= proof)) {
                 cleared.push(task.clone());
             }
--- a/src/workflow/progress.rs
+++ b/src/workflow/progress.rs
@@ -30,9 +30,9 @@
     /// The value of the state in responses of the native caller API.
     ///
     /// ```
-    /// assert_eq!(greengagearch::workflow::progress::JobEnd::Cancelled.word(), "cancelled");
+    /// assert_eq!(greengagearch::workflow::progress::JobEnd::Cancelled.as_str(), "cancelled");
     /// ```
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             JobEnd::Completed => "completed",
             JobEnd::Failed => "failed",
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_board.rs
@@ -115,7 +115,7 @@
             assigned_at: now,
             last_report: None,
             first_reported_at: None,
-            begun_at: None,
+            started_at: None,
             sent_traits: None,
             throttled_since: None,
             stopping: false,
