--- a/src/workflow/job_forecast.rs
+++ b/src/workflow/job_forecast.rs
@@ -1,10 +1,10 @@
 //! Forecast of task durations at full pace, from the reported progress of a job's runs.
 //!
-//! Declared durations are off by up to a factor of two, and so is the choice of the jobs that can
-//! still meet their objective: of 58 jobs in two busy minutes 33 met it, against 21 when scheduled
-//! by declared durations. Runners report the progress of each run. A tenth of a task's work
-//! predicts its duration to within a few percent, and that of the other tasks of its step to within
-//! a fifth.
+//! Declared durations are off by a factor of two in either direction and therefore misjudge which
+//! jobs can still meet their objective: of 58 jobs in two busy minutes 33 could, but only 21
+//! according to their declared durations. Runners report the progress of each run. A tenth of a
+//! task's work predicts its duration to within a few percent, and that of the other tasks of its
+//! step to within a fifth.
 
 use std::collections::BTreeMap;
 
