--- a/src/process/planning/office.rs
+++ b/src/process/planning/ownership.rs
@@ -61,11 +61,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use greengagearch::process::planning::office::vacant_after;
+/// use greengagearch::process::planning::ownership::takeover_delay;
 ///
-/// assert_eq!(vacant_after(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
+/// assert_eq!(takeover_delay(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
 /// ```
-pub fn vacant_after(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
+pub fn takeover_delay(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
     // Of processes at one address only the newest lives; so a row that names this one is of its past.
     let Some(owner) = owner.filter(|owner| owner.address != own_address) else {
         return Duration::ZERO;
@@ -79,7 +79,7 @@
 }
 
 /// Watches the ownership, and takes it when nobody has it.
-pub struct OwnershipOffice {
+pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
     changed: Instant,
@@ -87,17 +87,17 @@
     has_failed: bool,
 }
 
-impl OwnershipOffice {
+impl OwnershipElector {
     /// Starts watching. The task ends when the process stops.
     pub fn spawn(shared: Arc<PlannerShared>) -> tokio::task::JoinHandle<()> {
-        let office = OwnershipOffice {
+        let elector = OwnershipElector {
             shared,
             owner: None,
             changed: clock::now(),
             after: None,
             has_failed: false,
         };
-        tokio::spawn(office.run())
+        tokio::spawn(elector.run())
     }
 
     async fn run(mut self) {
@@ -166,14 +166,14 @@
         }
     }
 
-    fn vacant_after(&self) -> Duration {
+    fn takeover_delay(&self) -> Duration {
         let settings = &self.shared.settings;
         let owner = self.owner.as_ref().map(|(owner, _)| owner);
-        vacant_after(owner, &settings.internal_listen.to_string(), settings.processor_share)
+        takeover_delay(owner, &settings.internal_listen.to_string(), settings.processor_share)
     }
 
     fn until_vacant(&self) -> Duration {
-        (self.changed + self.vacant_after()).saturating_duration_since(clock::now())
+        (self.changed + self.takeover_delay()).saturating_duration_since(clock::now())
     }
 
     fn is_vacant(&self) -> bool {
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -75,7 +75,9 @@
     pub(super) fn on_stored(&mut self, purpose: WritePurpose, version: RowVersion) {
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
-            WritePurpose::Forget(jobs) => jobs.iter().for_each(|job| planner.on_forgotten(job)),
+            WritePurpose::Forget(jobs) => {
+                jobs.iter().for_each(|job| planner.on_record_removed(job))
+            }
             WritePurpose::Pulse => {}
         });
     }
@@ -98,7 +100,7 @@
         }
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
-            WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
+            WritePurpose::Batch(batch) => planner.on_conflict(batch, newest),
             WritePurpose::Pulse => {}
             // A row that was to be forgotten has changed; it is tried again with its new version.
             WritePurpose::Forget(_) => newest
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -14,7 +14,7 @@
 use crate::request::id_memory::IdMemory;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
-use crate::request::request_id::CLOCK_SKEW;
+use crate::request::request_id::MAX_CLOCK_SKEW;
 
 #[derive(Clone, Debug)]
 enum JournalState {
@@ -25,7 +25,7 @@
 
 /// What to do with a dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JournalVerdict {
+pub enum JournalDecision {
     /// It is new: run it, then call [`RequestJournal::end`].
     Run,
     /// It is being run: wait for its outcome.
@@ -73,7 +73,7 @@
     /// use greengagearch::request::request_journal::RequestJournal;
     /// use greengagearch::request::request_journal::SettleAnswer;
     ///
-    /// let handover = RequestJournal::new(Duration::ZERO).hand_over(1);
+    /// let handover = RequestJournal::new(Duration::ZERO).export_handover(1);
     /// let answer = handover.answer(&uuid::Uuid::now_v7(), Duration::from_secs(60));
     /// assert_eq!(answer, SettleAnswer::NeverRun);
     /// ```
@@ -92,7 +92,7 @@
 /// an id is accepted up to one skew ahead of an entry's clock, which may itself be one skew ahead
 /// of the agent's.
 fn reaches_back(since: Duration, id_time: Duration) -> bool {
-    id_time >= since + 2 * CLOCK_SKEW
+    id_time >= since + 2 * MAX_CLOCK_SKEW
 }
 
 /// Ids of non-idempotent requests at one agent.
@@ -124,9 +124,9 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::ZERO).vouch_from(Duration::from_secs(1));
+    /// RequestJournal::new(Duration::ZERO).set_complete_from(Duration::from_secs(1));
     /// ```
-    pub fn vouch_from(&mut self, time: Duration) {
+    pub fn set_complete_from(&mut self, time: Duration) {
         self.remembers_since = self.remembers_since.max(time);
     }
 
@@ -137,9 +137,9 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::from_secs(9)).vouch_for_all();
+    /// RequestJournal::new(Duration::from_secs(9)).set_complete();
     /// ```
-    pub fn vouch_for_all(&mut self) {
+    pub fn set_complete(&mut self) {
         self.remembers_since = Duration::ZERO;
     }
 
@@ -150,16 +150,16 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// assert!(RequestJournal::new(Duration::ZERO).hand_over(1).ids.is_empty());
+    /// assert!(RequestJournal::new(Duration::ZERO).export_handover(1).ids.is_empty());
     /// ```
-    pub fn hand_over(&self, epoch: LeaseEpoch) -> JournalHandover {
+    pub fn export_handover(&self, epoch: LeaseEpoch) -> JournalHandover {
         let ran = self.memory.iter().filter(|(_, state, _)| {
             matches!(state, JournalState::Running | JournalState::Ended(_))
         });
         JournalHandover {
             epoch,
             remembers_since: self.remembers_since,
-            ids: ran.map(|(id, _, forget_at)| (*id, forget_at)).collect(),
+            ids: ran.map(|(id, _, expires_at)| (*id, expires_at)).collect(),
         }
     }
 
@@ -170,15 +170,15 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// let before = RequestJournal::new(Duration::ZERO).hand_over(1);
-    /// RequestJournal::new(Duration::from_secs(9)).take_over(before);
+    /// let before = RequestJournal::new(Duration::ZERO).export_handover(1);
+    /// RequestJournal::new(Duration::from_secs(9)).import_handover(before);
     /// ```
-    pub fn take_over(&mut self, handover: JournalHandover) {
+    pub fn import_handover(&mut self, handover: JournalHandover) {
         self.remembers_since = handover.remembers_since;
         let outcome = RequestOutcome::Unknown(UnknownReason::AnswerLost);
-        for (id, forget_at) in handover.ids {
+        for (id, expires_at) in handover.ids {
             if self.memory.get(&id).is_none() {
-                self.memory.set(id, JournalState::Ended(outcome.clone()), forget_at);
+                self.memory.set(id, JournalState::Ended(outcome.clone()), expires_at);
             }
         }
     }
@@ -188,27 +188,27 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::request::request_journal::JournalVerdict;
+    /// use greengagearch::request::request_journal::JournalDecision;
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
     /// let mut journal = RequestJournal::new(Duration::ZERO);
     /// let id = uuid::Uuid::now_v7();
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Run);
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Wait);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Run);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Wait);
     /// ```
     pub fn begin(
         &mut self,
         id: RequestId,
         epoch: LeaseEpoch,
-        forget_at: Duration,
-    ) -> JournalVerdict {
+        expires_at: Duration,
+    ) -> JournalDecision {
         match self.memory.get(&id) {
-            Some(JournalState::Running) => JournalVerdict::Wait,
-            Some(JournalState::Ended(outcome)) => JournalVerdict::Ended(outcome.clone()),
-            Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalVerdict::Refuse,
+            Some(JournalState::Running) => JournalDecision::Wait,
+            Some(JournalState::Ended(outcome)) => JournalDecision::Ended(outcome.clone()),
+            Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalDecision::Refuse,
             Some(JournalState::Tombstone(_)) | None => {
-                self.memory.set(id, JournalState::Running, forget_at);
-                JournalVerdict::Run
+                self.memory.set(id, JournalState::Running, expires_at);
+                JournalDecision::Run
             }
         }
     }
@@ -242,7 +242,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use greengagearch::request::request_journal::JournalVerdict;
+    /// use greengagearch::request::request_journal::JournalDecision;
     /// use greengagearch::request::request_journal::RequestJournal;
     /// use greengagearch::request::request_journal::SettleAnswer;
     ///
@@ -250,14 +250,14 @@
     /// let id = uuid::Uuid::now_v7();
     /// let answer = journal.settle(id, 2, Duration::from_secs(60), Duration::MAX);
     /// assert_eq!(answer, SettleAnswer::NeverRun);
-    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalVerdict::Refuse);
+    /// assert_eq!(journal.begin(id, 1, Duration::MAX), JournalDecision::Refuse);
     /// ```
     pub fn settle(
         &mut self,
         id: RequestId,
         epoch: LeaseEpoch,
         id_time: Duration,
-        forget_at: Duration,
+        expires_at: Duration,
     ) -> SettleAnswer {
         let epoch = match self.memory.get(&id) {
             Some(JournalState::Running) => return SettleAnswer::Running,
@@ -265,7 +265,7 @@
             Some(JournalState::Tombstone(newest)) => epoch.max(*newest),
             None => epoch,
         };
-        self.memory.set(id, JournalState::Tombstone(epoch), forget_at);
+        self.memory.set(id, JournalState::Tombstone(epoch), expires_at);
         if reaches_back(self.remembers_since, id_time) {
             SettleAnswer::NeverRun
         } else {
@@ -280,10 +280,10 @@
     ///
     /// use greengagearch::request::request_journal::RequestJournal;
     ///
-    /// RequestJournal::new(Duration::ZERO).forget_old(Duration::from_secs(1));
+    /// RequestJournal::new(Duration::ZERO).remove_expired(Duration::from_secs(1));
     /// ```
-    pub fn forget_old(&mut self, now: Duration) {
-        self.memory.forget_old(now, |state| matches!(state, JournalState::Running));
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.memory.remove_expired(now, |state| matches!(state, JournalState::Running));
     }
 
     /// Number of ids that are remembered.
@@ -326,13 +326,13 @@
         let answer =
             journal.settle(id, 2, Duration::from_millis(100_900), Duration::from_secs(200));
         assert_eq!(answer, SettleAnswer::CannotTell);
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(200)), JournalVerdict::Refuse);
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(200)), JournalDecision::Refuse);
     }
 
     #[test]
     fn the_first_run_of_all_vouches_for_every_id() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
-        journal.vouch_for_all();
+        journal.set_complete();
         let id = RequestId::now_v7();
         let answer = journal.settle(id, 2, Duration::from_secs(99), Duration::from_secs(200));
         assert_eq!(answer, SettleAnswer::NeverRun);
@@ -343,9 +343,9 @@
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalVerdict::Refuse);
-        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalVerdict::Run);
-        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalVerdict::Wait);
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalDecision::Refuse);
+        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalDecision::Run);
+        assert_eq!(journal.begin(id, 2, Duration::from_secs(30)), JournalDecision::Wait);
     }
 
     #[test]
@@ -354,11 +354,11 @@
         let (ran, fresh) = (RequestId::now_v7(), RequestId::now_v7());
         before.begin(ran, 1, Duration::from_secs(90));
         let mut after = RequestJournal::new(Duration::from_secs(50));
-        after.take_over(before.hand_over(1));
-        let (time, forget_at) = (Duration::from_secs(49), Duration::from_secs(90));
-        assert_eq!(after.settle(fresh, 2, time, forget_at), SettleAnswer::NeverRun);
-        assert_matches!(after.settle(ran, 2, time, forget_at), SettleAnswer::Ended(_));
-        assert_matches!(after.begin(ran, 2, forget_at), JournalVerdict::Ended(_));
+        after.import_handover(before.export_handover(1));
+        let (time, expires_at) = (Duration::from_secs(49), Duration::from_secs(90));
+        assert_eq!(after.settle(fresh, 2, time, expires_at), SettleAnswer::NeverRun);
+        assert_matches!(after.settle(ran, 2, time, expires_at), SettleAnswer::Ended(_));
+        assert_matches!(after.begin(ran, 2, expires_at), JournalDecision::Ended(_));
     }
 
     #[test]
@@ -366,7 +366,7 @@
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
-        journal.forget_old(Duration::from_secs(29));
-        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalVerdict::Refuse);
+        journal.remove_expired(Duration::from_secs(29));
+        assert_eq!(journal.begin(id, 1, Duration::from_secs(30)), JournalDecision::Refuse);
     }
 }
--- a/src/workflow/pacing.rs
+++ b/src/workflow/pacing.rs
@@ -21,7 +21,7 @@
 use crate::workflow::target_violations::SustainedViolation;
 use crate::workflow::target_violations::TargetViolations;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Distance of the controlled load from the load at the target. It covers the change of a load
 /// within a control period and the measurement window, and two standard deviations of a measured
--- a/src/workflow/planner_load.rs
+++ b/src/workflow/planner_load.rs
@@ -1,4 +1,4 @@
-//! Numbers of what the planner has in hand, for the pulse and the log.
+//! Counters of the planner's jobs, runs and workers, for the pulse row and the log.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -9,42 +9,43 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::urgency::JobUrgency;
 
-/// Numbers of what a planner has in hand.
+/// Counters of the planner's jobs, runs and workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlannerLoad {
-    /// Jobs that are not forgotten.
+    /// Jobs that the planner tracks.
     pub jobs: usize,
-    /// Tasks whose turn has come and that do not run.
-    pub waiting: usize,
-    /// Runs that serve.
-    pub serving: usize,
-    /// Runs that fill.
-    pub filling: usize,
-    /// Runs that fill and are held up.
-    pub slowed: usize,
-    /// Processor time that runs that fill would use at their present pace, in thousandths of a core.
-    pub fill_wanted: u64,
-    /// Processor time that they use, in thousandths of a core.
-    pub fill_used: u64,
-    /// Other runs.
-    pub others: usize,
-    /// Workers that take new work.
-    pub workers: usize,
-    /// Workers on which something serves.
+    /// Tasks that are ready but not running.
+    pub waiting_tasks: usize,
+    /// Runs of serving tasks.
+    pub serving_runs: usize,
+    /// Runs of best-effort tasks.
+    pub best_effort_runs: usize,
+    /// Runs of best-effort tasks that are throttled.
+    pub throttled_runs: usize,
+    /// Processor time that best-effort runs would use at their current pace, in thousandths of a
+    /// core.
+    pub best_effort_demand: u64,
+    /// Processor time that best-effort runs use, in thousandths of a core.
+    pub best_effort_usage: u64,
+    /// Runs that are neither serving nor best-effort.
+    pub other_runs: usize,
+    /// Workers that accept new runs.
+    pub open_workers: usize,
+    /// Workers with serving tasks.
     pub serving_workers: usize,
-    /// Workers that get no more fills, because those that they have are slowed.
-    pub held_back_workers: usize,
-    /// Open jobs that fill, and those of them that can no longer be in time.
-    pub fill_jobs: usize,
-    /// See `fill_jobs`.
-    pub late_fill_jobs: usize,
-    /// Processor time that runs of such late jobs use, in thousandths of a core; the rest of `fill_used` can still be
-    /// in time.
-    pub late_fill_used: u64,
+    /// Workers that get no further best-effort tasks, because those that they run are throttled.
+    pub saturated_workers: usize,
+    /// Best-effort jobs that have not ended.
+    pub best_effort_jobs: usize,
+    /// Best-effort jobs that have not ended and can no longer meet their objective.
+    pub late_best_effort_jobs: usize,
+    /// Processor time that runs of late best-effort jobs use, in thousandths of a core. The rest of
+    /// `best_effort_usage` belongs to jobs that can still meet their objective.
+    pub late_best_effort_usage: u64,
 }
 
 impl Planner {
-    /// Jobs of each queue of which no task has started.
+    /// Number of jobs of each queue that have not started any task.
     ///
     /// ```
     /// use std::time::Instant;
@@ -60,7 +61,7 @@
         counts
     }
 
-    /// What waits and what runs, for the log.
+    /// Returns the current counters, for the log.
     ///
     /// ```
     /// use std::time::Instant;
@@ -70,41 +71,41 @@
     /// ```
     pub fn load(&self) -> PlannerLoad {
         let mut load = PlannerLoad { jobs: self.jobs.len(), ..PlannerLoad::default() };
-        load.waiting = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
-        let late = self.late_fill_jobs();
+        load.waiting_tasks = self.jobs.values().map(|entry| entry.waiting_tasks(|_| true)).sum();
+        let late = self.late_best_effort_jobs();
         let open = self.jobs.values().filter(|entry| entry.end.is_none());
-        load.fill_jobs = open.filter(|entry| entry.is_best_effort()).count();
-        load.late_fill_jobs = late.len();
-        for (_, worker) in self.board.iter() {
-            load.held_back_workers += usize::from(worker.holds_fills_back());
-            load.workers += usize::from(worker.is_open(self.now));
+        load.best_effort_jobs = open.filter(|entry| entry.is_best_effort()).count();
+        load.late_best_effort_jobs = late.len();
+        for (_, worker) in self.inventory.iter() {
+            load.saturated_workers += usize::from(worker.is_saturated());
+            load.open_workers += usize::from(worker.is_open(self.now));
             load.serving_workers += usize::from(worker.is_serving());
             for (key, run) in &worker.assigned {
-                load.serving += usize::from(run.target_ms > 0);
-                load.filling += usize::from(run.best_effort);
-                load.slowed += usize::from(run.throttled_since.is_some());
+                load.serving_runs += usize::from(run.target_ms > 0);
+                load.best_effort_runs += usize::from(run.best_effort);
+                load.throttled_runs += usize::from(run.throttled_since.is_some());
                 if let Some(seen) = run.last_report.as_ref().filter(|_| run.best_effort) {
-                    load.fill_wanted += run.millicores * u64::from(seen.pace_percent) / 100;
-                    load.fill_used += seen.usage;
+                    load.best_effort_demand += run.millicores * u64::from(seen.pace_percent) / 100;
+                    load.best_effort_usage += seen.usage;
                     if late.contains(key.0.job.as_str()) {
-                        load.late_fill_used += seen.usage;
+                        load.late_best_effort_usage += seen.usage;
                     }
                 }
-                load.others += usize::from(!run.best_effort && run.target_ms == 0);
+                load.other_runs += usize::from(!run.best_effort && run.target_ms == 0);
             }
         }
         load
     }
 
-    /// Open jobs that fill and can no longer be in time.
-    fn late_fill_jobs(&self) -> HashSet<&str> {
+    /// Best-effort jobs that have not ended and can no longer meet their objective.
+    fn late_best_effort_jobs(&self) -> HashSet<&str> {
         let open =
             self.jobs.iter().filter(|(_, entry)| entry.end.is_none() && entry.is_best_effort());
         let late = open.filter(|(_, entry)| JobUrgency::of(entry, self.wall_ms).is_late());
         late.map(|(job, _)| job.as_str()).collect()
     }
 
-    /// What a successor should know of images.
+    /// Returns the learned interference between images, which a successor planner restores.
     ///
     /// ```
     /// use std::time::Instant;
@@ -116,27 +117,27 @@
         self.interference.learned()
     }
 
-    /// Takes over what a predecessor has learned of images.
+    /// Restores the interference between images that an earlier planner has learned.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let mut planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// planner.adopt_learned(Default::default());
+    /// planner.restore_learned(Default::default());
     /// ```
-    pub fn adopt_learned(&mut self, learned: LearnedInterference) {
+    pub fn restore_learned(&mut self, learned: LearnedInterference) {
         self.interference = PairInterferenceModel::from_learned(learned, self.now);
     }
 
-    /// What was learned of images that disturb each other, for the log.
+    /// Summarizes the learned interference between images, for the log.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// let planner = greengagearch::workflow::planner::Planner::new(Instant::now());
-    /// assert_eq!(planner.learned_pairs(), "");
+    /// assert_eq!(planner.learned_summary(), "");
     /// ```
-    pub fn learned_pairs(&self) -> String {
+    pub fn learned_summary(&self) -> String {
         self.interference.summary()
     }
 }
--- a/src/workflow/target_violations.rs
+++ b/src/workflow/target_violations.rs
@@ -12,7 +12,7 @@
 use crate::connection::node_protocol::PresentRun;
 use crate::connection::node_protocol::TaskTraits;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Time above the target after which a violation is sustained: three measurement windows, and well
 /// within the seconds that callers tolerate.
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -6,7 +6,7 @@
 
 use crate::ids::ImageName;
 use crate::ids::ServiceName;
-use crate::workflow::placement::PlacementNeed;
+use crate::workflow::placement::PlacementRequest;
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::spec::ResourceVector;
 
@@ -27,12 +27,12 @@
 
 impl UnplaceableRequests {
     /// Whether a request is known to be unplaceable in this round.
-    pub(crate) fn covers(&self, request: &PlacementNeed<'_>) -> bool {
+    pub(crate) fn covers(&self, request: &PlacementRequest<'_>) -> bool {
         is_generic(request) && self.known.iter().any(|known| known.covers(request))
     }
 
     /// Records that no worker was found for a request.
-    pub(crate) fn add(&mut self, request: &PlacementNeed<'_>) {
+    pub(crate) fn add(&mut self, request: &PlacementRequest<'_>) {
         if is_generic(request) {
             self.known.push(UnplaceableRequest {
                 service: request.service.to_string(),
@@ -45,7 +45,7 @@
 }
 
 impl UnplaceableRequest {
-    fn covers(&self, request: &PlacementNeed<'_>) -> bool {
+    fn covers(&self, request: &PlacementRequest<'_>) -> bool {
         let best_effort = self.best_effort.as_ref().map(|(image, risk)| (image.as_str(), *risk));
         self.service == request.service
             && self.required_label == request.step.required_label
@@ -54,12 +54,12 @@
     }
 }
 
-fn best_effort_of<'a>(request: &PlacementNeed<'a>) -> Option<(&'a str, RiskLimit)> {
+fn best_effort_of<'a>(request: &PlacementRequest<'a>) -> Option<(&'a str, RiskLimit)> {
     request.step.best_effort.then_some((request.step.image.as_str(), request.risk))
 }
 
 /// Whether a request depends only on properties that other tasks may share.
-fn is_generic(request: &PlacementNeed<'_>) -> bool {
-    let is_unrestricted = request.rack.is_none() && request.not_on.is_none();
+fn is_generic(request: &PlacementRequest<'_>) -> bool {
+    let is_unrestricted = request.rack.is_none() && request.excluded_worker.is_none();
     is_unrestricted && !request.needs_ticket && request.step.max_per_worker == 0
 }
--- a/src/workflow/worker_board.rs
+++ b/src/workflow/worker_inventory.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of all workers: what runs where, and who is silent.
+//! All workers known to the planner, with their assigned runs and the time of their last contact.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -11,78 +11,79 @@
 use crate::workflow::assigned_run::EndedBestEffortRun;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_entry::ENDED_KEPT;
-use crate::workflow::worker_entry::SILENCE_LIMIT;
+use crate::workflow::worker_entry::ENDED_RETENTION;
+use crate::workflow::worker_entry::SILENCE_TIMEOUT;
 use crate::workflow::worker_entry::WorkerEntry;
 
-/// After a worker refused a start for want of room it is left alone for this long; its view of its
-/// room is then that of the planner again.
-const ROOM_PAUSE: Duration = Duration::from_millis(300);
-/// Identifies a run of a task.
+/// Time for which a worker gets no new runs after it rejected one for lack of capacity. By then its
+/// own account of free capacity agrees with the planner's.
+const FULL_BACKOFF: Duration = Duration::from_millis(300);
+/// A task and the number of one of its runs.
 pub type RunKey = (TaskName, RunNumber);
 
-/// All workers, by the life of their runner.
+/// All workers, by runner instance.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerBoard {
+pub struct WorkerInventory {
     workers: BTreeMap<InstanceId, WorkerEntry>,
 }
 
-impl WorkerBoard {
-    /// The entry of a life, made when it is new. `lease_end` bounds what earlier planners granted.
+impl WorkerInventory {
+    /// Returns the entry of an instance, creating it if it is new. `lease_end` bounds the leases
+    /// that earlier planners granted.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.entry("i-1", Instant::now()).status.is_none());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.entry("i-1", Instant::now()).status.is_none());
     /// ```
     pub fn entry(&mut self, instance: &str, lease_end: Instant) -> &mut WorkerEntry {
-        let made = || WorkerEntry::new(lease_end);
-        self.workers.entry(instance.to_string()).or_insert_with(made)
+        let create = || WorkerEntry::new(lease_end);
+        self.workers.entry(instance.to_string()).or_insert_with(create)
     }
 
-    /// A worker, if it is known.
+    /// Returns a worker, if it is known.
     ///
     /// ```
-    /// assert!(greengagearch::workflow::worker_board::WorkerBoard::default().get("i-1").is_none());
+    /// assert!(greengagearch::workflow::worker_inventory::WorkerInventory::default().get("i-1").is_none());
     /// ```
     pub fn get(&self, instance: &str) -> Option<&WorkerEntry> {
         self.workers.get(instance)
     }
 
-    /// A worker to be changed, if it is known.
+    /// Returns a worker for modification, if it is known.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.get_mut("i-1").is_none());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.get_mut("i-1").is_none());
     /// ```
     pub fn get_mut(&mut self, instance: &str) -> Option<&mut WorkerEntry> {
         self.workers.get_mut(instance)
     }
 
-    /// All workers.
+    /// Returns all workers.
     ///
     /// ```
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert_eq!(board.iter().count(), 0);
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert_eq!(inventory.iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &WorkerEntry)> {
         self.workers.iter()
     }
 
-    /// Tasks for which some worker keeps room.
+    /// Returns the tasks that have a reservation on some worker.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.kept_tasks(Instant::now()).is_empty());
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.reserved_tasks(Instant::now()).is_empty());
     /// ```
-    pub fn kept_tasks(&self, now: Instant) -> HashSet<TaskName> {
+    pub fn reserved_tasks(&self, now: Instant) -> HashSet<TaskName> {
         self.workers.values().flat_map(|worker| worker.reservations.tasks(now)).cloned().collect()
     }
 
-    /// Gives a run to a worker.
+    /// Assigns a run to a worker.
     ///
     /// ```
     /// use std::time::Instant;
@@ -90,9 +91,9 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let now = Instant::now();
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// board.assign("i-1", ("a.0.0.0".parse().unwrap(), 1), &StepSpec::default(), now, now);
-    /// assert_eq!(board.get("i-1").unwrap().assigned.len(), 1);
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// inventory.assign("i-1", ("a.0.0.0".parse().unwrap(), 1), &StepSpec::default(), now, now);
+    /// assert_eq!(inventory.get("i-1").unwrap().assigned.len(), 1);
     /// ```
     pub fn assign(
         &mut self,
@@ -124,27 +125,27 @@
         worker.used = worker.used.plus(&run.reserved);
         worker.reservations.release(&key.0);
         if run.best_effort {
-            worker.fills_changed = Some(now);
+            worker.best_effort_changed = Some(now);
         }
         worker.assigned.insert(key, run);
     }
 
-    /// Takes a run from a worker, since it has ended there.
+    /// Removes a run that has ended on a worker.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// assert!(board.release("i-1", &key, std::time::Instant::now()).is_none());
+    /// assert!(inventory.release("i-1", &key, std::time::Instant::now()).is_none());
     /// ```
     pub fn release(&mut self, instance: &str, key: &RunKey, now: Instant) -> Option<AssignedRun> {
         let worker = self.workers.get_mut(instance)?;
         let run = worker.assigned.remove(key)?;
         worker.isolated.take_if(|isolated| isolated == key);
         if run.best_effort {
-            worker.fills_changed = Some(now);
+            worker.best_effort_changed = Some(now);
             worker
                 .ended_best_effort
-                .retain(|ended| now.saturating_duration_since(ended.ended_at) < ENDED_KEPT);
+                .retain(|ended| now.saturating_duration_since(ended.ended_at) < ENDED_RETENTION);
             worker.ended_best_effort.extend(run.first_reported_at.map(|started_at| {
                 EndedBestEffortRun {
                     image: run.image.clone(),
@@ -158,7 +159,8 @@
         Some(run)
     }
 
-    /// Takes a run from one life to another, which has begun it. Says whether it was ordered to stop on the former.
+    /// Transfers a run to another instance, which has started it. Returns whether the run had been
+    /// ordered to stop on the former one.
     ///
     /// ```
     /// use std::time::Instant;
@@ -166,14 +168,14 @@
     /// use greengagearch::workflow::spec::StepSpec;
     ///
     /// let now = Instant::now();
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
     /// let key = ("a.0.0.0".parse().unwrap(), 1);
-    /// board.assign("i-1@1", key.clone(), &StepSpec::default(), now, now);
-    /// board.entry("i-1@2", now);
-    /// assert!(!board.hand_over("i-1@1", "i-1@2", &key));
-    /// assert_eq!(board.get("i-1@2").unwrap().assigned.len(), 1);
+    /// inventory.assign("i-1@1", key.clone(), &StepSpec::default(), now, now);
+    /// inventory.entry("i-1@2", now);
+    /// assert!(!inventory.transfer("i-1@1", "i-1@2", &key));
+    /// assert_eq!(inventory.get("i-1@2").unwrap().assigned.len(), 1);
     /// ```
-    pub fn hand_over(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
+    pub fn transfer(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
         let Some(before) = self.workers.get_mut(from) else {
             return false;
         };
@@ -189,46 +191,46 @@
         was_stopping
     }
 
-    /// Forgets a life of a runner; gives the runs that it had.
+    /// Removes a runner instance and returns the runs that were assigned to it.
     ///
     /// ```
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.forget("i-1").is_empty());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.remove("i-1").is_empty());
     /// ```
-    pub fn forget(&mut self, instance: &str) -> Vec<RunKey> {
+    pub fn remove(&mut self, instance: &str) -> Vec<RunKey> {
         let worker = self.workers.remove(instance);
         worker.into_iter().flat_map(|worker| worker.assigned.into_keys()).collect()
     }
 
-    /// Lives whose leases have surely expired and whose agents are silent.
+    /// Returns the instances whose leases have expired and whose agents are silent.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// assert!(board.expired(Instant::now()).is_empty());
+    /// let inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// assert!(inventory.expired(Instant::now()).is_empty());
     /// ```
     pub fn expired(&self, now: Instant) -> Vec<InstanceId> {
         let is_expired = |entry: &(&InstanceId, &WorkerEntry)| {
-            let heard = entry.1.heard;
+            let last_contact = entry.1.last_contact;
             let is_silent =
-                heard.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_LIMIT);
+                last_contact.is_none_or(|at| now.saturating_duration_since(at) >= SILENCE_TIMEOUT);
             is_silent && now >= entry.1.lease_end
         };
         self.workers.iter().filter(is_expired).map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Takes note that a worker refused a start for want of room.
+    /// Records that a worker rejected a start for lack of capacity.
     ///
     /// ```
     /// use std::time::Instant;
     ///
-    /// let mut board = greengagearch::workflow::worker_board::WorkerBoard::default();
-    /// board.on_full("i-1", Instant::now());
+    /// let mut inventory = greengagearch::workflow::worker_inventory::WorkerInventory::default();
+    /// inventory.on_full("i-1", Instant::now());
     /// ```
     pub fn on_full(&mut self, instance: &str, now: Instant) {
         if let Some(worker) = self.workers.get_mut(instance) {
-            worker.full_until = Some(now + ROOM_PAUSE);
+            worker.full_until = Some(now + FULL_BACKOFF);
         }
     }
 }
--- a/tests/planning/mod.rs
+++ b/tests/planning/mod.rs
@@ -13,7 +13,7 @@
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::RejectedRun;
 use greengagearch::connection::node_protocol::RunnerCrash;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::planner_batch::PlanWrite;
@@ -25,7 +25,7 @@
 use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 pub const SERVICE: &str = "s";
 
@@ -116,7 +116,7 @@
             labels: runner.labels.clone(),
             draining: runner.draining,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present: runner.present.values().cloned().collect(),
             ended: runner.ended.clone(),
             rejected: runner.rejected.clone(),
@@ -128,7 +128,7 @@
             former: vec![],
             unsettled: Vec::new(),
             crashes: vec![],
-            look: Some(look),
+            snapshot: Some(look),
         }
     }
 
@@ -182,7 +182,7 @@
     pub fn deliver(&mut self) -> Vec<(String, NodeOrder)> {
         let orders = self.planner.take_orders();
         for (instance, order) in &orders {
-            let number = self.planner.number_order(instance, std::slice::from_ref(order));
+            let number = self.planner.assign_order_number(instance, std::slice::from_ref(order));
             let Some(runner) = self.runners.get_mut(instance) else {
                 continue;
             };
@@ -238,7 +238,7 @@
             former: vec![crash.instance.clone()],
             unsettled: Vec::new(),
             crashes: vec![crash],
-            look: None,
+            snapshot: None,
         };
         self.planner.set_time(self.now(), self.wall_ms);
         self.planner.on_report(report, false);
@@ -278,8 +278,8 @@
     }
 
     /// Another planner takes over with what is stored.
-    pub fn take_over(&mut self, inherited_end: Instant) {
-        let mut planner = Planner::new(inherited_end);
+    pub fn take_over(&mut self, inherited_lease_end: Instant) {
+        let mut planner = Planner::new(inherited_lease_end);
         planner.set_time(self.now(), self.wall_ms);
         for (job, record) in &self.records {
             planner.on_record(job, self.version, record.clone());
--- a/tests/planning_world/order_loop.rs
+++ b/tests/planning_world/order_loop.rs
@@ -36,7 +36,7 @@
             StartStep::Stop(_) => {
                 self.await_slot(agent, run, target, QueuedOrder::Stop(tried.key));
             }
-            StartStep::Over(_) => {}
+            StartStep::Finished(_) => {}
         }
     }
 
@@ -69,7 +69,7 @@
         }
         match queued {
             QueuedOrder::Start(tried) => {
-                match one.state.begin_try(&target, &tried.key, &tried.room, now) {
+                match one.state.begin_attempt(&target, &tried.key, &tried.room, now) {
                     Some(lease_end) => {
                         let order = Order::Start { tried, lease_end };
                         self.at(0, call_of(agent, run, &target, order));
@@ -98,11 +98,11 @@
         let run = one.run;
         match order {
             Order::Start { tried, .. } => {
-                one.state.on_start_answer(&target, &tried.key, &told, now);
+                one.state.on_start_response(&target, &tried.key, &told, now);
                 self.at(0, Event::Try { agent, run, target, tried });
             }
             Order::Stop { key } => {
-                one.state.on_stop_answer(&target, &key, &told);
+                one.state.on_stop_response(&target, &key, &told);
                 if told.is_err() {
                     let queued = QueuedOrder::Stop(key);
                     self.at(STOP_PAUSE, Event::Slot { agent, run, target, queued });
