--- a/src/process/node/runner_poller.rs
+++ b/src/process/node/runner_poller.rs
@@ -180,7 +180,7 @@
             ("task", task),
             ("run", run),
             ("percent", &change.percent),
-            ("pressure", &format!("{:.2}", change.pressure)),
+            ("pressure", &format!("{:.2}", change.tail_ratio)),
             ("outcome", &outcome),
         ],
     );
--- a/src/workflow/planner_crashes.rs
+++ b/src/workflow/planner_crashes.rs
@@ -47,7 +47,7 @@
         if is_recorded || !self.task_suspicion.is_isolated(&task) {
             return None;
         }
-        let is_certain = worker.assigned.get(&(task.clone(), run))?.begun_at.is_some();
+        let is_certain = worker.assigned.get(&(task.clone(), run))?.started_at.is_some();
         let (max_age, min_age) = (YOUNG_SPAN, Duration::ZERO);
         self.record_crash(instance, &[CrashedRun { task, max_age, min_age, is_certain }])
     }
@@ -103,7 +103,7 @@
         let mut cleared = Vec::new();
         for ((task, _), run) in &worker.assigned {
             let clearing_age = self.task_suspicion.clearing_age(task);
-            let age = run.begun_at.map(|begun| self.now.saturating_duration_since(begun));
+            let age = run.started_at.map(|begun| self.now.saturating_duration_since(begun));
             if clearing_age.is_some_and(|clearing_age| age.is_some_and(|age| age >= clearing_age)) {
                 cleared.push(task.clone());
             }
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -1,7 +1,8 @@
-//! Needs for which a round of planning has found no worker.
+//! Placement requests for which the current planning round has found no worker.
 //!
-//! With hundreds of jobs that wait, most ask for what another one has just not found. Room only shrinks within a
-//! round, so that whoever asks for as much or more of the same kind is not searched for again.
+//! With hundreds of waiting jobs, most requests resemble one that was just found unplaceable. Free
+//! resources only shrink within a round. A request for the same or more resources of the same kind
+//! is therefore skipped without a search.
 
 use crate::ids::ImageName;
 use crate::ids::ServiceName;
@@ -9,7 +10,7 @@
 use crate::workflow::placement::RiskLimit;
 use crate::workflow::spec::ResourceVector;
 
-/// What was not found in a round.
+/// The unplaceable requests of the current round.
 #[derive(Debug, Default)]
 pub(crate) struct UnplaceableRequests {
     known: Vec<UnplaceableRequest>,
@@ -19,24 +20,24 @@
 struct UnplaceableRequest {
     service: ServiceName,
     required_label: String,
-    /// Of tasks that fill: their image, and how far they may go.
-    filling: Option<(ImageName, RiskLimit)>,
+    /// Image and risk limit of a best-effort task; `None` for other tasks.
+    best_effort: Option<(ImageName, RiskLimit)>,
     resources: ResourceVector,
 }
 
 impl UnplaceableRequests {
-    /// Whether nothing will be found in this round.
+    /// Whether a request is known to be unplaceable in this round.
     pub(crate) fn covers(&self, request: &PlacementRequest<'_>) -> bool {
-        is_shared(request) && self.known.iter().any(|known| known.covers(request))
+        is_generic(request) && self.known.iter().any(|known| known.covers(request))
     }
 
-    /// Takes note that nothing was found.
+    /// Records that no worker was found for a request.
     pub(crate) fn add(&mut self, request: &PlacementRequest<'_>) {
-        if is_shared(request) {
+        if is_generic(request) {
             self.known.push(UnplaceableRequest {
                 service: request.service.to_string(),
                 required_label: request.step.required_label.clone(),
-                filling: filling_of(request).map(|(image, risk)| (image.to_string(), risk)),
+                best_effort: best_effort_of(request).map(|(image, risk)| (image.to_string(), risk)),
                 resources: request.step.resources,
             });
         }
@@ -45,20 +46,20 @@
 
 impl UnplaceableRequest {
     fn covers(&self, request: &PlacementRequest<'_>) -> bool {
-        let filling = self.filling.as_ref().map(|(image, risk)| (image.as_str(), *risk));
+        let best_effort = self.best_effort.as_ref().map(|(image, risk)| (image.as_str(), *risk));
         self.service == request.service
             && self.required_label == request.step.required_label
-            && filling == filling_of(request)
+            && best_effort == best_effort_of(request)
             && request.step.resources.contains(&self.resources)
     }
 }
 
-fn filling_of<'a>(request: &PlacementRequest<'a>) -> Option<(&'a str, RiskLimit)> {
+fn best_effort_of<'a>(request: &PlacementRequest<'a>) -> Option<(&'a str, RiskLimit)> {
     request.step.best_effort.then_some((request.step.image.as_str(), request.risk))
 }
 
-/// Whether a need depends on nothing that is its task's alone.
-fn is_shared(request: &PlacementRequest<'_>) -> bool {
-    let is_free = request.rack.is_none() && request.excluded_worker.is_none();
-    is_free && !request.needs_ticket && request.step.max_per_worker == 0
+/// Whether a request depends only on properties that other tasks may share.
+fn is_generic(request: &PlacementRequest<'_>) -> bool {
+    let is_unrestricted = request.rack.is_none() && request.excluded_worker.is_none();
+    is_unrestricted && !request.needs_ticket && request.step.max_per_worker == 0
 }
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -116,7 +116,7 @@
             assigned_at: now,
             last_report: None,
             first_reported_at: None,
-            begun_at: None,
+            started_at: None,
             sent_traits: None,
             throttled_since: None,
             stopping: false,
