--- a/src/process/planning/job_desk.rs
+++ b/src/process/planning/job_service.rs
@@ -32,16 +32,16 @@
 const REPEAT_PAUSE: Duration = Duration::from_millis(60);
 
 /// The job desk of a planner process.
-pub struct JobDesk {
+pub struct JobService {
     shared: Arc<PlannerShared>,
     planner: PlannerClient,
     store: StoreAccess,
 }
 
-impl JobDesk {
+impl JobService {
     /// Opens the desk.
-    pub fn open(shared: Arc<PlannerShared>) -> JobDesk {
-        JobDesk {
+    pub fn open(shared: Arc<PlannerShared>) -> JobService {
+        JobService {
             planner: PlannerClient::open(shared.clone()),
             store: StoreAccess::open(shared.clone()),
             shared,
@@ -162,7 +162,7 @@
 }
 
 #[async_trait]
-impl JobGate for JobDesk {
+impl JobGate for JobService {
     fn is_ready(&self) -> bool {
         !self.shared.is_stopping()
             && self.shared.queues.borrow().is_some()
--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod commit_writer;
 pub mod decision_log;
-pub mod job_desk;
 pub mod job_http;
+pub mod job_service;
 pub mod node_link;
 pub mod ownership;
 pub mod peer_watch;
@@ -36,7 +36,7 @@
 use crate::process::http_server::spawn_http_server;
 use crate::process::logging::log_event;
 use crate::process::metrics::serve_metrics;
-use crate::process::planning::job_desk::JobDesk;
+use crate::process::planning::job_service::JobService;
 use crate::process::planning::ownership::OwnershipElector;
 use crate::process::planning::settings::PlannerSettings;
 use crate::process::planning::shared::PlannerShared;
@@ -102,7 +102,7 @@
         queue_watch::spawn_queue_watch(shared.clone());
         peer_watch::spawn_peer_watch(shared.clone());
         planner_client::spawn_planner_rpc(internal, shared.clone());
-        let gate: Arc<dyn JobGate> = Arc::new(JobDesk::open(shared.clone()));
+        let gate: Arc<dyn JobGate> = Arc::new(JobService::open(shared.clone()));
         let (close, closed) = StopSwitch::new();
         let limits = HttpLimits::default();
         let router = caller_gate::router(gate.clone());
