--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -229,7 +229,7 @@
 
     fn pending(&self, queue: &str) -> u64 {
         let owned = self.shared.owned().as_ref().map(|owned| owned.planner.pending());
-        let pending = owned.unwrap_or_else(|| self.shared.view().pulse.pending.clone());
+        let pending = owned.unwrap_or_else(|| self.shared.view().heartbeat.pending.clone());
         pending.get(queue).copied().unwrap_or(0)
     }
 }
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -144,7 +144,7 @@
     fn adopt(&mut self, row: &StoredRow) {
         self.changed = clock::now();
         if row.name.key == PULSE_KEY {
-            self.shared.view().pulse = decode(row).unwrap_or_default();
+            self.shared.view().heartbeat = decode(row).unwrap_or_default();
         }
         if row.name.key == OWNER_KEY {
             let is_older = self.owner.as_ref().is_some_and(|(_, version)| *version > row.version);
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -17,6 +17,7 @@
 use crate::process::planning::decision_log::log_load;
 use crate::process::planning::planner_loop::PlannerLoop;
 use crate::process::planning::planner_loop::StepResult;
+use crate::process::planning::rows::HeartbeatRow;
 use crate::process::planning::rows::IMAGES_KEY;
 use crate::process::planning::rows::JOB_TABLE;
 use crate::process::planning::rows::LEARNED_TABLE;
@@ -24,7 +25,6 @@
 use crate::process::planning::rows::OwnerRow;
 use crate::process::planning::rows::PARTITION;
 use crate::process::planning::rows::PULSE_KEY;
-use crate::process::planning::rows::PulseRow;
 use crate::process::planning::rows::batch_transaction;
 use crate::process::planning::rows::encode;
 use crate::process::planning::rows::job_records;
@@ -33,7 +33,7 @@
 use crate::workflow::planner_batch::PlanBatch;
 
 /// Time between two pulses.
-const PULSE: Duration = Duration::from_millis(400);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
 /// Time between two writes of what was learned of images: pairs change over tens of seconds.
 pub(super) const LEARNED_PERIOD: Duration = Duration::from_secs(4);
 /// Time between two lines of the log that tell what waits and runs.
@@ -46,7 +46,7 @@
 /// What a write was for.
 pub(super) enum WritePurpose {
     Batch(PlanBatch),
-    Pulse,
+    Heartbeat,
     Forget(Vec<JobId>),
 }
 
@@ -76,7 +76,7 @@
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
             WritePurpose::Forget(jobs) => jobs.iter().for_each(|job| planner.on_forgotten(job)),
-            WritePurpose::Pulse => {}
+            WritePurpose::Heartbeat => {}
         });
     }
 
@@ -99,7 +99,7 @@
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
-            WritePurpose::Pulse => {}
+            WritePurpose::Heartbeat => {}
             // A row that was to be forgotten has changed; it is tried again with its new version.
             WritePurpose::Forget(_) => newest
                 .into_iter()
@@ -109,17 +109,17 @@
     }
 
     pub(super) fn next_write(&mut self) -> Option<WriteTask> {
-        let is_pulse_due = clock::now() >= self.pulse_due;
+        let is_heartbeat_due = clock::now() >= self.heartbeat_due;
         if let Some(batch) = self.with_planner(Planner::take_batch).flatten() {
             let mut transaction =
                 batch_transaction(&batch, self.proof.version, self.shared.settings.layout);
-            if is_pulse_due {
+            if is_heartbeat_due {
                 // Batches may follow each other without a pause; others see only the pulse.
-                self.add_pulse(&mut transaction);
+                self.add_heartbeat(&mut transaction);
             }
             return Some(self.spawn_write(WritePurpose::Batch(batch), transaction));
         }
-        if !is_pulse_due {
+        if !is_heartbeat_due {
             return None;
         }
         let kept_for = self.shared.settings.kept_for;
@@ -129,14 +129,14 @@
             return Some(self.write_forget(expired));
         }
         let mut transaction = self.bound_transaction();
-        self.add_pulse(&mut transaction);
-        Some(self.spawn_write(WritePurpose::Pulse, transaction))
+        self.add_heartbeat(&mut transaction);
+        Some(self.spawn_write(WritePurpose::Heartbeat, transaction))
     }
 
     /// Adds the pulse, and what goes with it.
-    fn add_pulse(&mut self, transaction: &mut RowTransaction) {
+    fn add_heartbeat(&mut self, transaction: &mut RowTransaction) {
         let now = clock::now();
-        self.pulse_due = now + PULSE;
+        self.heartbeat_due = now + HEARTBEAT_PERIOD;
         let pending = self.with_planner(|planner| planner.pending()).unwrap_or_default();
         if now >= self.load_log_due {
             self.load_log_due = now + LOAD_LOG;
@@ -144,9 +144,9 @@
                 log_load(self.proof.owner.epoch, &owned.planner);
             }
         }
-        let pulse = PulseRow { epoch: self.proof.owner.epoch, pending };
+        let heartbeat = HeartbeatRow { epoch: self.proof.owner.epoch, pending };
         let name = RowName::new(OWNER_TABLE, PARTITION, PULSE_KEY);
-        transaction.puts.push((name, encode(&pulse)));
+        transaction.puts.push((name, encode(&heartbeat)));
         if now >= self.learned_due {
             self.learned_due = now + LEARNED_PERIOD;
             self.add_learned(transaction);
@@ -166,7 +166,7 @@
     pub(super) fn write_forget(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
         expired.truncate(FORGET_AT_ONCE);
         let mut transaction = self.bound_transaction();
-        self.add_pulse(&mut transaction);
+        self.add_heartbeat(&mut transaction);
         for (job, version) in &expired {
             let name = self.shared.settings.layout.row(job);
             transaction.expected.push((name.clone(), *version));
--- a/src/process/planning/rows.rs
+++ b/src/process/planning/rows.rs
@@ -61,7 +61,7 @@
 
 /// What the planner shows about once a second, which also shows that it lives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PulseRow {
+pub struct HeartbeatRow {
     /// Epoch of the planner.
     pub epoch: PlannerEpoch,
     /// Jobs of each queue of which no task has started.
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -21,8 +21,8 @@
 use crate::process::clock;
 use crate::process::clock::SteadyClock;
 use crate::process::metrics::ProcessMetrics;
+use crate::process::planning::rows::HeartbeatRow;
 use crate::process::planning::rows::OwnerRow;
-use crate::process::planning::rows::PulseRow;
 use crate::process::planning::settings::PlannerSettings;
 use crate::version::queue_table::QueueTable;
 use crate::workflow::planner::Planner;
@@ -42,7 +42,7 @@
     /// Who plans.
     pub owner: Option<OwnerRow>,
     /// The newest pulse.
-    pub pulse: PulseRow,
+    pub heartbeat: HeartbeatRow,
 }
 
 /// State that lives as long as the process.
