--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -240,7 +240,7 @@
         };
         let mut owned = self.shared.owned();
         if let (Some(owned), Some(instance)) = (owned.as_mut(), instance) {
-            let span = grant_span(owned.proof, received);
+            let span = grant_span(owned.confirmed_at, received);
             owned.planner.on_grant(&instance, surely_expired(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
             call.seen = owned.planner.acked(&instance);
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -42,7 +42,7 @@
 
 /// An ownership that the store has confirmed.
 #[derive(Clone, Debug)]
-pub struct OwnerProof {
+pub struct ConfirmedOwnership {
     /// The row.
     pub owner: OwnerRow,
     /// Its version, which binds the planner's writes.
@@ -200,7 +200,8 @@
                 self.shared.view().owner = Some(owner.clone());
                 let answered = clock::now();
                 let has_predecessor = owner.epoch > 1;
-                self.own(OwnerProof { owner, version, sent, answered, has_predecessor }).await;
+                self.own(ConfirmedOwnership { owner, version, sent, answered, has_predecessor })
+                    .await;
             }
             Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.adopt(row)),
             // If it was written all the same, the next look at the row shows it.
@@ -212,10 +213,10 @@
     }
 
     /// Plans until the ownership is lost or the process stops.
-    async fn own(&mut self, proof: OwnerProof) {
-        let epoch = proof.owner.epoch;
+    async fn own(&mut self, ownership: ConfirmedOwnership) {
+        let epoch = ownership.owner.epoch;
         log_event(Level::Info, "planning_started", &[("epoch", &epoch)]);
-        let reason = PlannerLoop::run(self.shared.clone(), proof).await;
+        let reason = PlannerLoop::run(self.shared.clone(), ownership).await;
         *self.shared.owned() = None;
         log_event(Level::Info, "planning_ended", &[("epoch", &epoch), ("reason", &reason)]);
         self.after = None;
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -21,7 +21,7 @@
 use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderBatch;
-use crate::process::planning::ownership::OwnerProof;
+use crate::process::planning::ownership::ConfirmedOwnership;
 use crate::process::planning::planner_writes::LEARNED_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::written;
@@ -58,7 +58,7 @@
 /// The planner's loop and what it holds.
 pub struct PlannerLoop {
     pub(super) shared: Arc<PlannerShared>,
-    pub(super) proof: OwnerProof,
+    pub(super) ownership: ConfirmedOwnership,
     links: BTreeMap<String, NodeLink>,
     agents: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
@@ -80,11 +80,11 @@
 
 impl PlannerLoop {
     /// Plans until the ownership is lost or the process stops; gives the reason.
-    pub async fn run(shared: Arc<PlannerShared>, proof: OwnerProof) -> String {
+    pub async fn run(shared: Arc<PlannerShared>, ownership: ConfirmedOwnership) -> String {
         let (news, received) = mpsc::unbounded_channel();
         let mut planning = PlannerLoop {
             shared,
-            proof,
+            ownership,
             links: BTreeMap::new(),
             agents: BTreeMap::new(),
             disputed: BTreeSet::new(),
@@ -142,9 +142,9 @@
 
     /// Reads all jobs and their progress. Gives the version from which on changes of jobs are new.
     async fn load(&mut self) -> Result<RowVersion, String> {
-        let answered = self.proof.answered;
+        let answered = self.ownership.answered;
         let expired =
-            if self.proof.has_predecessor { predecessors_expired(answered) } else { answered };
+            if self.ownership.has_predecessor { predecessors_expired(answered) } else { answered };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
@@ -169,8 +169,8 @@
             "jobs_loaded",
             &[("jobs", &jobs.len()), ("in_progress", &progress.len()), ("version", &version)],
         );
-        let proof = self.proof.sent;
-        *self.shared.owned() = Some(OwnedPlanner { planner, proof });
+        let confirmed_at = self.ownership.sent;
+        *self.shared.owned() = Some(OwnedPlanner { planner, confirmed_at });
         Ok(version)
     }
 
@@ -230,7 +230,7 @@
                 continue;
             };
             let (shared, news) = (self.shared.clone(), self.news.clone());
-            let epoch = self.proof.owner.epoch;
+            let epoch = self.ownership.owner.epoch;
             let address = node.address.clone();
             let link = || NodeLink::spawn(shared, epoch, node.address, news);
             self.links.entry(address).or_insert_with(link);
@@ -248,7 +248,7 @@
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
             }
-            LinkEvent::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
+            LinkEvent::Replaced(newest) if newest.epoch > self.ownership.owner.epoch => {
                 Err(format!("an agent knows epoch {}", newest.epoch))
             }
             // An own link that was replaced by a newer one of its own.
@@ -296,7 +296,7 @@
         let decisions = self.with_planner(Planner::take_decisions).unwrap_or_default();
         for decision in &decisions {
             self.shared.metrics.tasks.with_label_values(&[decision.label()]).inc();
-            log_decision(self.proof.owner.epoch, decision);
+            log_decision(self.ownership.owner.epoch, decision);
         }
     }
 
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -61,9 +61,11 @@
         self.write = None;
         let (purpose, transaction, fate) = written;
         match fate {
-            CommitFate::Stored(version, proof) => {
-                if let (Some(owned), Some(proof)) = (self.shared.owned().as_mut(), proof) {
-                    owned.proof = owned.proof.max(proof);
+            CommitFate::Stored(version, confirmed_at) => {
+                if let (Some(owned), Some(confirmed_at)) =
+                    (self.shared.owned().as_mut(), confirmed_at)
+                {
+                    owned.confirmed_at = owned.confirmed_at.max(confirmed_at);
                 }
                 self.on_stored(purpose, version);
                 Ok(())
@@ -112,7 +114,7 @@
         let is_heartbeat_due = clock::now() >= self.heartbeat_due;
         if let Some(batch) = self.with_planner(Planner::take_batch).flatten() {
             let mut transaction =
-                batch_transaction(&batch, self.proof.version, self.shared.settings.layout);
+                batch_transaction(&batch, self.ownership.version, self.shared.settings.layout);
             if is_heartbeat_due {
                 // Batches may follow each other without a pause; others see only the pulse.
                 self.add_heartbeat(&mut transaction);
@@ -141,10 +143,10 @@
         if now >= self.load_log_due {
             self.load_log_due = now + LOAD_LOG;
             if let Some(owned) = self.shared.owned().as_ref() {
-                log_load(self.proof.owner.epoch, &owned.planner);
+                log_load(self.ownership.owner.epoch, &owned.planner);
             }
         }
-        let heartbeat = HeartbeatRow { epoch: self.proof.owner.epoch, pending };
+        let heartbeat = HeartbeatRow { epoch: self.ownership.owner.epoch, pending };
         let name = RowName::new(OWNER_TABLE, PARTITION, PULSE_KEY);
         transaction.puts.push((name, encode(&heartbeat)));
         if now >= self.learned_due {
@@ -179,7 +181,7 @@
     /// A transaction that only the owner's own epoch can apply.
     pub(super) fn bound_transaction(&self) -> RowTransaction {
         RowTransaction {
-            expected: vec![(owner_row(), self.proof.version)],
+            expected: vec![(owner_row(), self.ownership.version)],
             ..RowTransaction::default()
         }
     }
@@ -198,7 +200,7 @@
 
     /// Gives the ownership back, so that another process takes over at once.
     pub(super) async fn release(&mut self) {
-        let released = OwnerRow { released: true, ..self.proof.owner.clone() };
+        let released = OwnerRow { released: true, ..self.ownership.owner.clone() };
         let mut transaction = self.bound_transaction();
         transaction.puts.push((owner_row(), encode(&released)));
         let store = self.shared.store.clone();
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -33,7 +33,7 @@
     /// The planner.
     pub planner: Planner,
     /// When the last call was sent that the store answered under this ownership.
-    pub proof: Instant,
+    pub confirmed_at: Instant,
 }
 
 /// What is known of the ownership.
