--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a batch of the planner until its fate is known.
+//! Writes a batch of the planner until its outcome is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 /// What became of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CommitFate {
+pub enum CommitOutcome {
     /// It is stored under a version. Where the store itself said so, the owner's row was as expected
     /// after this time, at which the call was sent.
     Stored(RowVersion, Option<Instant>),
@@ -30,18 +30,18 @@
 
 /// Repeats a write until it is known to be stored or impossible. Each row's condition makes a repeat, or
 /// a first try that is carried out late, harmless.
-pub async fn commit(store: Arc<dyn RowStore>, transaction: &RowTransaction) -> CommitFate {
+pub async fn commit(store: Arc<dyn RowStore>, transaction: &RowTransaction) -> CommitOutcome {
     let mut is_ambiguous = false;
     let mut failures = 0_u32;
     loop {
         let sent = clock::now();
         match store.commit(transaction).await {
-            Ok(version) => return CommitFate::Stored(version, Some(sent)),
+            Ok(version) => return CommitOutcome::Stored(version, Some(sent)),
             Err(RowError::Conflict { rows }) => {
                 let applied = applied_version(transaction, &rows).filter(|_| is_ambiguous);
                 return match applied {
-                    Some(version) => CommitFate::Stored(version, None),
-                    None => CommitFate::Refused(rows),
+                    Some(version) => CommitOutcome::Stored(version, None),
+                    None => CommitOutcome::Refused(rows),
                 };
             }
             Err(error) => {
--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether a call without a known fate is worth another try: while the store is out of reach the
+    /// Whether a call without a known outcome is worth another try: while the store is out of reach the
     /// caller is told at once, and may ask again.
     fn may_repeat(&self, deadline: CallDeadline) -> bool {
         self.shared.is_store_near() && deadline.left() >= ANSWER_RESERVE + REPEAT_PAUSE
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -12,7 +12,7 @@
 use crate::ids::RowVersion;
 use crate::process::clock;
 use crate::process::logging::log_event;
-use crate::process::planning::commit_writer::CommitFate;
+use crate::process::planning::commit_writer::CommitOutcome;
 use crate::process::planning::commit_writer::commit;
 use crate::process::planning::decision_log::log_load;
 use crate::process::planning::planner_loop::PlannerLoop;
@@ -51,17 +51,17 @@
 }
 
 /// A write that is on its way.
-pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitFate)>;
+pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitOutcome)>;
 
 impl PlannerLoop {
     pub(super) fn on_written(
         &mut self,
-        written: (WritePurpose, RowTransaction, CommitFate),
+        written: (WritePurpose, RowTransaction, CommitOutcome),
     ) -> StepResult {
         self.write = None;
-        let (purpose, transaction, fate) = written;
-        match fate {
-            CommitFate::Stored(version, confirmed_at) => {
+        let (purpose, transaction, outcome) = written;
+        match outcome {
+            CommitOutcome::Stored(version, confirmed_at) => {
                 if let (Some(owned), Some(confirmed_at)) =
                     (self.shared.owned().as_mut(), confirmed_at)
                 {
@@ -70,7 +70,7 @@
                 self.on_stored(purpose, version);
                 Ok(())
             }
-            CommitFate::Refused(rows) => self.on_refused(purpose, &transaction, &rows),
+            CommitOutcome::Refused(rows) => self.on_refused(purpose, &transaction, &rows),
         }
     }
 
@@ -193,8 +193,8 @@
     ) -> WriteTask {
         let store = self.shared.store.clone();
         tokio::spawn(async move {
-            let fate = commit(store, &transaction).await;
-            (purpose, transaction, fate)
+            let outcome = commit(store, &transaction).await;
+            (purpose, transaction, outcome)
         })
     }
 
@@ -206,7 +206,7 @@
         let store = self.shared.store.clone();
         let release = async {
             if let Some(write) = self.write.take() {
-                // Its fate is found by the next owner.
+                // Its outcome is found by the next owner.
                 let _ = write.await;
             }
             commit(store, &transaction).await
@@ -219,7 +219,7 @@
 /// The end of the write on its way; never, when there is none.
 pub(super) async fn written(
     write: &mut Option<WriteTask>,
-) -> (WritePurpose, RowTransaction, CommitFate) {
+) -> (WritePurpose, RowTransaction, CommitOutcome) {
     if let Some(task) = write
         && let Ok(written) = task.await
     {
