--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -30,7 +30,7 @@
 
 /// Time for a connection to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait of an agent for news: leases are extended and silence is noticed that often.
+/// Longest wait of an agent for events: leases are extended and silence is noticed that often.
 const SYNC_WAIT: Duration = Duration::from_millis(400);
 /// Time beyond the wait within which an agent must answer, also when its host is five times slower.
 const ANSWER_SLACK: Duration = Duration::from_millis(900);
@@ -84,14 +84,14 @@
         shared: Arc<PlannerShared>,
         epoch: PlannerEpoch,
         address: String,
-        news: mpsc::UnboundedSender<LinkEvent>,
+        events: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
         let (orders, parcels) = mpsc::unbounded_channel();
         let worker = LinkWorker {
             last_sent: 0,
             shared,
             address,
-            news,
+            events,
             stamp: LinkStamp { epoch, link: 0 },
             order_lost: Arc::default(),
         };
@@ -104,7 +104,7 @@
     last_sent: u64,
     shared: Arc<PlannerShared>,
     address: String,
-    news: mpsc::UnboundedSender<LinkEvent>,
+    events: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
     /// Tells that an order of the present link was not answered.
     order_lost: Arc<Notify>,
@@ -170,9 +170,9 @@
             // An agent that has just started may not have heard of its runner yet.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
-            let news = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
+            let event = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
             is_new_link &= !names_runner;
-            if self.news.send(news).is_err() {
+            if self.events.send(event).is_err() {
                 return "planning ended".to_string();
             }
         }
@@ -195,8 +195,8 @@
                 answer = &mut answer => return match answer {
                     Ok(Ok(report)) => Ok(report),
                     Ok(Err(stale)) => {
-                        // A planner that has ended needs no news.
-                        let _ = self.news.send(LinkEvent::Replaced(stale.newest));
+                        // A planner that has ended needs no events.
+                        let _ = self.events.send(LinkEvent::Replaced(stale.newest));
                         Err(stale.to_string())
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -1,4 +1,4 @@
-//! The planner at work: takes news in, plans, stores, sends orders. Ends when the ownership is lost.
+//! The planner at work: takes events in, plans, stores, sends orders. Ends when the ownership is lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -63,7 +63,7 @@
     agents: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
     disputed: BTreeSet<(InstanceId, String)>,
-    news: mpsc::UnboundedSender<LinkEvent>,
+    events: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) heartbeat_due: Instant,
     pub(super) learned_due: Instant,
@@ -72,7 +72,7 @@
     /// Before this the planner does not look for places again.
     plan_after: Instant,
     /// Whether something has happened since it did.
-    has_news: bool,
+    has_changes: bool,
 }
 
 /// How a step of the loop ended.
@@ -81,21 +81,21 @@
 impl PlannerLoop {
     /// Plans until the ownership is lost or the process stops; gives the reason.
     pub async fn run(shared: Arc<PlannerShared>, ownership: ConfirmedOwnership) -> String {
-        let (news, received) = mpsc::unbounded_channel();
+        let (events, received) = mpsc::unbounded_channel();
         let mut planning = PlannerLoop {
             shared,
             ownership,
             links: BTreeMap::new(),
             agents: BTreeMap::new(),
             disputed: BTreeSet::new(),
-            news,
+            events,
             write: None,
             heartbeat_due: clock::now(),
             learned_due: clock::now() + LEARNED_PERIOD,
             learned: LearnedEffects::default(),
             load_log_due: clock::now(),
             plan_after: clock::now(),
-            has_news: false,
+            has_changes: false,
         };
         match planning.work(received).await {
             Ok(()) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
+    async fn work(&mut self, mut events: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
@@ -124,16 +124,16 @@
             tokio::select! {
                 rows = jobs.next() => self.on_jobs(&rows),
                 rows = nodes.next() => self.on_nodes(&rows),
-                Some(first) = news.recv() => {
-                    self.on_news(first)?;
-                    while let Ok(more) = news.try_recv() {
-                        self.on_news(more)?;
+                Some(first) = events.recv() => {
+                    self.on_link_event(first)?;
+                    while let Ok(more) = events.try_recv() {
+                        self.on_link_event(more)?;
                     }
                 }
                 written = written(&mut self.write) => self.on_written(written)?,
                 _ = tick.tick() => self.on_tick(),
                 () = shared.wake.notified() => {}
-                () = tokio::time::sleep(rest), if self.has_news => {}
+                () = tokio::time::sleep(rest), if self.has_changes => {}
             }
             self.plan();
         }
@@ -229,16 +229,16 @@
                 self.links.remove(&row.name.key);
                 continue;
             };
-            let (shared, news) = (self.shared.clone(), self.news.clone());
+            let (shared, events) = (self.shared.clone(), self.events.clone());
             let epoch = self.ownership.owner.epoch;
             let address = node.address.clone();
-            let link = || NodeLink::spawn(shared, epoch, node.address, news);
+            let link = || NodeLink::spawn(shared, epoch, node.address, events);
             self.links.entry(address).or_insert_with(link);
         }
     }
 
-    fn on_news(&mut self, news: LinkEvent) -> StepResult {
-        match news {
+    fn on_link_event(&mut self, event: LinkEvent) -> StepResult {
+        match event {
             LinkEvent::Report { address, mut report, is_new_link } => {
                 report.former.retain(|life| self.may_end(&address, life));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
@@ -281,12 +281,12 @@
 
     /// Plans, starts the next write, and sends what may be sent.
     fn plan(&mut self) {
-        self.has_news = true;
+        self.has_changes = true;
         let started = clock::now();
         if started >= self.plan_after {
             self.with_planner(Planner::plan);
             self.plan_after = clock::now() + clock::elapsed(started) * PLAN_REST;
-            self.has_news = false;
+            self.has_changes = false;
         }
         if self.write.is_none() {
             self.write = self.next_write();
