--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -86,7 +86,7 @@
         address: String,
         events: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
-        let (orders, parcels) = mpsc::unbounded_channel();
+        let (orders, batches) = mpsc::unbounded_channel();
         let worker = LinkWorker {
             last_sent: 0,
             shared,
@@ -95,7 +95,7 @@
             stamp: LinkStamp { epoch, link: 0 },
             order_lost: Arc::default(),
         };
-        NodeLink { orders, running: tokio::spawn(worker.run(parcels)) }
+        NodeLink { orders, running: tokio::spawn(worker.run(batches)) }
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl LinkWorker {
-    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderBatch>) {
+    async fn run(mut self, mut batches: mpsc::UnboundedReceiver<OrderBatch>) {
         let mut was_up = true;
         loop {
             self.stamp.link += 1;
@@ -121,8 +121,8 @@
             let reason = match self.connect().await {
                 Some(client) => {
                     // What was ordered over earlier links is sent anew where it is still wanted.
-                    while parcels.try_recv().is_ok() {}
-                    self.serve(&client, &mut parcels).await
+                    while batches.try_recv().is_ok() {}
+                    self.serve(&client, &mut batches).await
                 }
                 None => "connect".to_string(),
             };
@@ -151,7 +151,7 @@
     async fn serve(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
+        batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
     ) -> String {
         let mut call = SyncCall {
             stamp: self.stamp,
@@ -162,7 +162,7 @@
         };
         let mut is_new_link = true;
         loop {
-            let report = match self.exchange(client, parcels, call).await {
+            let report = match self.exchange(client, batches, call).await {
                 Ok(report) => report,
                 Err(reason) => return reason,
             };
@@ -182,7 +182,7 @@
     async fn exchange(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
+        batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
         let limit = call.wait + ANSWER_SLACK;
@@ -201,7 +201,7 @@
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
                 },
-                Some(parcel) = parcels.recv() => self.send(client, parcel),
+                Some(batch) = batches.recv() => self.send(client, batch),
                 // The agent counts orders in their sequence: one that is missing holds up all later
                 // ones, until a new link begins the sequence anew.
                 () = self.order_lost.notified() => return Err("an order was not answered".to_string()),
@@ -210,13 +210,13 @@
         }
     }
 
-    fn send(&mut self, client: &NodeRpcClient, parcel: OrderBatch) {
+    fn send(&mut self, client: &NodeRpcClient, batch: OrderBatch) {
         let call = OrderCall {
             stamp: self.stamp,
-            instance: parcel.instance,
-            number: parcel.number,
-            previous: std::mem::replace(&mut self.last_sent, parcel.number),
-            orders: parcel.orders,
+            instance: batch.instance,
+            number: batch.number,
+            previous: std::mem::replace(&mut self.last_sent, batch.number),
+            orders: batch.orders,
         };
         let (client, order_lost) = (client.clone(), self.order_lost.clone());
         tokio::spawn(async move {
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -326,11 +326,11 @@
 
     fn send_orders(&mut self) {
         let orders = self.with_planner(Planner::take_orders).unwrap_or_default();
-        let mut parcels: BTreeMap<InstanceId, Vec<NodeOrder>> = BTreeMap::new();
+        let mut batches: BTreeMap<InstanceId, Vec<NodeOrder>> = BTreeMap::new();
         for (instance, order) in orders {
-            parcels.entry(instance).or_default().push(order);
+            batches.entry(instance).or_default().push(order);
         }
-        for (instance, orders) in parcels {
+        for (instance, orders) in batches {
             let numbered = self.with_planner(|planner| planner.number_order(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
