--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -30,7 +30,7 @@
 
 /// Silence of the pulse, which comes every 0.4 s, after which another process takes over: longer than
 /// one pulse takes at a store that is sixty times slower than usual.
-const TAKEOVER_AFTER: Duration = Duration::from_millis(1_400);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_400);
 /// Added for a process without any share of a core, in proportion less for others, so that the one with
 /// the most processor time comes first.
 const SHARE_STAGGER: Duration = Duration::from_millis(400);
@@ -38,7 +38,7 @@
 /// an eighth, more than the news and the write take.
 const RELEASE_STAGGER: Duration = Duration::from_millis(150);
 /// Longest wait for news in one call.
-const FEED_WAIT: Duration = Duration::from_millis(1_200);
+const FEED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// An ownership that the store has confirmed.
 #[derive(Clone, Debug)]
@@ -70,11 +70,11 @@
     let Some(owner) = owner.filter(|owner| owner.address != own_address) else {
         return Duration::ZERO;
     };
-    let lack = 1.0 - share.clamp(0.0, 1.0);
+    let missing_share = 1.0 - share.clamp(0.0, 1.0);
     if owner.released {
-        RELEASE_STAGGER.mul_f64(lack)
+        RELEASE_STAGGER.mul_f64(missing_share)
     } else {
-        TAKEOVER_AFTER + SHARE_STAGGER.mul_f64(lack)
+        TAKEOVER_TIMEOUT + SHARE_STAGGER.mul_f64(missing_share)
     }
 }
 
@@ -82,8 +82,8 @@
 pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
-    changed: Instant,
-    after: Option<RowVersion>,
+    changed_at: Instant,
+    feed_version: Option<RowVersion>,
     has_failed: bool,
 }
 
@@ -93,8 +93,8 @@
         let elector = OwnershipElector {
             shared,
             owner: None,
-            changed: clock::now(),
-            after: None,
+            changed_at: clock::now(),
+            feed_version: None,
             has_failed: false,
         };
         tokio::spawn(elector.run())
@@ -111,7 +111,7 @@
                 self.on_failure(error);
             }
             self.shared.pace_watch(&watched).await;
-            if watched.is_ok() && self.is_vacant() {
+            if watched.is_ok() && self.is_takeover_due() {
                 self.take_over().await;
             }
         }
@@ -120,9 +120,9 @@
     /// Reads the rows, or waits for changes of them.
     async fn watch(&mut self) -> Result<(), RowError> {
         let store = self.shared.store.clone();
-        let (rows, version) = match self.after {
+        let (rows, version) = match self.feed_version {
             Some(after) => {
-                let wait = FEED_WAIT.min(self.until_vacant()).max(Duration::from_millis(1));
+                let wait = FEED_TIMEOUT.min(self.until_takeover()).max(Duration::from_millis(1));
                 let page = store.feed(OWNER_TABLE, after, wait).await?;
                 (page.rows, page.version)
             }
@@ -131,18 +131,18 @@
                 (page.rows, page.version)
             }
         };
-        self.after = Some(version);
+        self.feed_version = Some(version);
         if std::mem::take(&mut self.has_failed) {
             log_event(Level::Info, "ownership_watch_regained", &[("version", &version)]);
         }
         for row in rows {
-            self.adopt(&row);
+            self.apply_row(&row);
         }
         Ok(())
     }
 
-    fn adopt(&mut self, row: &StoredRow) {
-        self.changed = clock::now();
+    fn apply_row(&mut self, row: &StoredRow) {
+        self.changed_at = clock::now();
         if row.name.key == PULSE_KEY {
             self.shared.view().heartbeat = decode(row).unwrap_or_default();
         }
@@ -157,9 +157,9 @@
 
     fn on_failure(&mut self, error: &RowError) {
         // While the store is away nobody can renew; the pulse counts anew from its return.
-        self.changed = clock::now();
+        self.changed_at = clock::now();
         if *error == RowError::HistoryGone {
-            self.after = None;
+            self.feed_version = None;
         }
         if !std::mem::replace(&mut self.has_failed, true) {
             log_event(Level::Warn, "ownership_watch_lost", &[("error", error)]);
@@ -172,12 +172,12 @@
         takeover_delay(owner, &settings.internal_listen.to_string(), settings.processor_share)
     }
 
-    fn until_vacant(&self) -> Duration {
-        (self.changed + self.takeover_delay()).saturating_duration_since(clock::now())
+    fn until_takeover(&self) -> Duration {
+        (self.changed_at + self.takeover_delay()).saturating_duration_since(clock::now())
     }
 
-    fn is_vacant(&self) -> bool {
-        self.until_vacant().is_zero()
+    fn is_takeover_due(&self) -> bool {
+        self.until_takeover().is_zero()
     }
 
     async fn take_over(&mut self) {
@@ -200,10 +200,16 @@
                 self.shared.view().owner = Some(owner.clone());
                 let answered = clock::now();
                 let has_predecessor = owner.epoch > 1;
-                self.own(ConfirmedOwnership { owner, version, sent, answered, has_predecessor })
-                    .await;
+                self.plan_as_owner(ConfirmedOwnership {
+                    owner,
+                    version,
+                    sent,
+                    answered,
+                    has_predecessor,
+                })
+                .await;
             }
-            Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.adopt(row)),
+            Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.apply_row(row)),
             // If it was written all the same, the next look at the row shows it.
             Err(error) => {
                 self.on_failure(&error);
@@ -213,14 +219,14 @@
     }
 
     /// Plans until the ownership is lost or the process stops.
-    async fn own(&mut self, ownership: ConfirmedOwnership) {
+    async fn plan_as_owner(&mut self, ownership: ConfirmedOwnership) {
         let epoch = ownership.owner.epoch;
         log_event(Level::Info, "planning_started", &[("epoch", &epoch)]);
         let reason = PlannerLoop::run(self.shared.clone(), ownership).await;
         *self.shared.owned() = None;
         log_event(Level::Info, "planning_ended", &[("epoch", &epoch), ("reason", &reason)]);
-        self.after = None;
+        self.feed_version = None;
         self.owner = None;
-        self.changed = clock::now();
+        self.changed_at = clock::now();
     }
 }
--- a/src/process/planning/queue_watch.rs
+++ b/src/process/planning/queue_watch.rs
@@ -18,7 +18,7 @@
 
 /// Longest wait for news in one call, so that a connection that went silent is noticed well within the
 /// two seconds in which a configuration has to be in force.
-const FEED_WAIT: Duration = Duration::from_millis(700);
+const FEED_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Starts following the configuration.
 pub fn spawn_queue_watch(shared: Arc<PlannerShared>) {
@@ -56,7 +56,7 @@
 async fn follow(shared: &PlannerShared, after: Option<RowVersion>) -> Result<RowVersion, RowError> {
     let (rows, version) = match after {
         Some(after) => {
-            let page = shared.store.feed(OPERATOR_TABLE, after, FEED_WAIT).await?;
+            let page = shared.store.feed(OPERATOR_TABLE, after, FEED_TIMEOUT).await?;
             (page.rows, page.version)
         }
         None => {
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -16,7 +16,7 @@
 use crate::process::planning::shared::PlannerShared;
 
 /// Longest wait for changes in one call; a connection that went silent costs no more than this.
-const FEED_WAIT: Duration = Duration::from_millis(1_500);
+const FEED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A table that is followed; it ends when it is dropped.
 #[derive(Debug)]
@@ -93,7 +93,7 @@
 ) -> Result<(Vec<StoredRow>, RowVersion), RowError> {
     match after {
         Some(after) => {
-            let page = store.feed(table, after, FEED_WAIT).await?;
+            let page = store.feed(table, after, FEED_TIMEOUT).await?;
             Ok((page.rows, page.version))
         }
         None => read_partitions(store, table, partitions).await,
