--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -33,9 +33,9 @@
 /// Longest wait of an agent for events: leases are extended and silence is noticed that often.
 const SYNC_WAIT: Duration = Duration::from_millis(400);
 /// Time beyond the wait within which an agent must answer, also when its host is five times slower.
-const ANSWER_SLACK: Duration = Duration::from_millis(900);
+const ANSWER_MARGIN: Duration = Duration::from_millis(900);
 /// Pause before a connection is made anew.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
 /// Orders on their way to one life of a runner.
 #[derive(Clone, Debug)]
@@ -87,19 +87,19 @@
         events: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
         let (orders, batches) = mpsc::unbounded_channel();
-        let worker = LinkWorker {
+        let task = LinkTask {
             last_sent: 0,
             shared,
             address,
             events,
             stamp: LinkStamp { epoch, link: 0 },
-            order_lost: Arc::default(),
+            order_unanswered: Arc::default(),
         };
-        NodeLink { orders, running: tokio::spawn(worker.run(batches)) }
+        NodeLink { orders, running: tokio::spawn(task.run(batches)) }
     }
 }
 
-struct LinkWorker {
+struct LinkTask {
     /// Number of the last orders that were sent over the present link.
     last_sent: u64,
     shared: Arc<PlannerShared>,
@@ -107,22 +107,22 @@
     events: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
     /// Tells that an order of the present link was not answered.
-    order_lost: Arc<Notify>,
+    order_unanswered: Arc<Notify>,
 }
 
-impl LinkWorker {
+impl LinkTask {
     async fn run(mut self, mut batches: mpsc::UnboundedReceiver<OrderBatch>) {
         let mut was_up = true;
         loop {
             self.stamp.link += 1;
             self.last_sent = 0;
-            self.order_lost = Arc::default();
+            self.order_unanswered = Arc::default();
             let opened = clock::now();
             let reason = match self.connect().await {
                 Some(client) => {
                     // What was ordered over earlier links is sent anew where it is still wanted.
                     while batches.try_recv().is_ok() {}
-                    self.serve(&client, &mut batches).await
+                    self.sync_until_lost(&client, &mut batches).await
                 }
                 None => "connect".to_string(),
             };
@@ -136,7 +136,7 @@
                 );
             }
             was_up = is_up;
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Asks again and again; gives the reason when the link has broken.
-    async fn serve(
+    async fn sync_until_lost(
         &mut self,
         client: &NodeRpcClient,
         batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
@@ -162,11 +162,11 @@
         };
         let mut is_new_link = true;
         loop {
-            let report = match self.exchange(client, batches, call).await {
+            let report = match self.sync(client, batches, call).await {
                 Ok(report) => report,
                 Err(reason) => return reason,
             };
-            call = self.next_call(&report);
+            call = self.next_sync_call(&report);
             // An agent that has just started may not have heard of its runner yet.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
@@ -179,13 +179,13 @@
     }
 
     /// Sends one call, and orders while it waits.
-    async fn exchange(
+    async fn sync(
         &mut self,
         client: &NodeRpcClient,
         batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
-        let limit = call.wait + ANSWER_SLACK;
+        let limit = call.wait + ANSWER_MARGIN;
         let answer = client.sync(call_within(limit), call);
         tokio::pin!(answer);
         let limit = tokio::time::sleep(limit);
@@ -201,16 +201,16 @@
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
                 },
-                Some(batch) = batches.recv() => self.send(client, batch),
+                Some(batch) = batches.recv() => self.send_orders(client, batch),
                 // The agent counts orders in their sequence: one that is missing holds up all later
                 // ones, until a new link begins the sequence anew.
-                () = self.order_lost.notified() => return Err("an order was not answered".to_string()),
+                () = self.order_unanswered.notified() => return Err("an order was not answered".to_string()),
                 () = &mut limit => return Err("no answer in time".to_string()),
             }
         }
     }
 
-    fn send(&mut self, client: &NodeRpcClient, batch: OrderBatch) {
+    fn send_orders(&mut self, client: &NodeRpcClient, batch: OrderBatch) {
         let call = OrderCall {
             stamp: self.stamp,
             instance: batch.instance,
@@ -218,17 +218,17 @@
             previous: std::mem::replace(&mut self.last_sent, batch.number),
             orders: batch.orders,
         };
-        let (client, order_lost) = (client.clone(), self.order_lost.clone());
+        let (client, order_unanswered) = (client.clone(), self.order_unanswered.clone());
         tokio::spawn(async move {
             // That the agent obeys a later link is told to the calls that ask for its state as well.
-            if client.order(call_within(ANSWER_SLACK), call).await.is_err() {
-                order_lost.notify_one();
+            if client.order(call_within(ANSWER_MARGIN), call).await.is_err() {
+                order_unanswered.notify_one();
             }
         });
     }
 
     /// The next call, with an extension of leases that counts from the report's own time.
-    fn next_call(&self, report: &NodeReport) -> SyncCall {
+    fn next_sync_call(&self, report: &NodeReport) -> SyncCall {
         let received = clock::now();
         let instance = report.runner.as_ref().map(|runner| runner.instance.clone());
         let mut call = SyncCall {
