--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -22,7 +22,7 @@
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderBatch;
 use crate::process::planning::ownership::ConfirmedOwnership;
-use crate::process::planning::planner_writes::LEARNED_PERIOD;
+use crate::process::planning::planner_writes::EFFECTS_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::written;
 use crate::process::planning::rows::HOST_PARTITION;
@@ -44,33 +44,33 @@
 use crate::workflow::planner::Planner;
 
 /// Time between two looks at what is due by the clock.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_PERIOD: Duration = Duration::from_millis(100);
 /// Rest between two searches for places, as a multiple of the time that one takes: with thousands of tasks
 /// that wait, reports come faster than searches end, and pulses and orders have to go out in between.
-const PLAN_REST: u32 = 3;
+const PLAN_REST_FACTOR: u32 = 3;
 /// Pause before rows that could not be read at a takeover are read again.
-const READ_PAUSE: Duration = Duration::from_millis(150);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Pause before the advice service is asked again after it did not answer.
-const ADVICE_PAUSE: Duration = Duration::from_millis(300);
+const ADVICE_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Disputed lives that are remembered, so that each is logged once; more at a time would be a writer gone wild.
-const DISPUTES_KEPT: usize = 256;
+const MAX_DISPUTED_INSTANCES: usize = 256;
 
 /// The planner's loop and what it holds.
 pub struct PlannerLoop {
     pub(super) shared: Arc<PlannerShared>,
     pub(super) ownership: ConfirmedOwnership,
     links: BTreeMap<String, NodeLink>,
-    agents: BTreeMap<InstanceId, String>,
+    agent_addresses: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
-    disputed: BTreeSet<(InstanceId, String)>,
+    disputed_instances: BTreeSet<(InstanceId, String)>,
     events: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) heartbeat_due: Instant,
-    pub(super) learned_due: Instant,
-    pub(super) learned: LearnedEffects,
+    pub(super) effects_due: Instant,
+    pub(super) written_effects: LearnedEffects,
     pub(super) load_log_due: Instant,
     /// Before this the planner does not look for places again.
-    plan_after: Instant,
+    next_plan_at: Instant,
     /// Whether something has happened since it did.
     has_changes: bool,
 }
@@ -86,18 +86,18 @@
             shared,
             ownership,
             links: BTreeMap::new(),
-            agents: BTreeMap::new(),
-            disputed: BTreeSet::new(),
+            agent_addresses: BTreeMap::new(),
+            disputed_instances: BTreeSet::new(),
             events,
             write: None,
             heartbeat_due: clock::now(),
-            learned_due: clock::now() + LEARNED_PERIOD,
-            learned: LearnedEffects::default(),
+            effects_due: clock::now() + EFFECTS_PERIOD,
+            written_effects: LearnedEffects::default(),
             load_log_due: clock::now(),
-            plan_after: clock::now(),
+            next_plan_at: clock::now(),
             has_changes: false,
         };
-        match planning.work(received).await {
+        match planning.run_until_lost(received).await {
             Ok(()) => {
                 planning.release().await;
                 "stopping".to_string()
@@ -106,7 +106,10 @@
         }
     }
 
-    async fn work(&mut self, mut events: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
+    async fn run_until_lost(
+        &mut self,
+        mut events: mpsc::UnboundedReceiver<LinkEvent>,
+    ) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
@@ -117,10 +120,10 @@
             Some(jobs_after),
         );
         let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_PERIOD);
         while !self.shared.is_stopping() {
             let shared = self.shared.clone();
-            let rest = self.plan_after.saturating_duration_since(clock::now());
+            let rest = self.next_plan_at.saturating_duration_since(clock::now());
             tokio::select! {
                 rows = jobs.next() => self.on_jobs(&rows),
                 rows = nodes.next() => self.on_nodes(&rows),
@@ -151,7 +154,7 @@
         let own = [PARTITION.to_string()];
         let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
         let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
-        self.warn_of_other_layout(layout).await?;
+        self.warn_about_other_layout(layout).await?;
         for (job, version, record) in job_records(&jobs) {
             planner.on_record(&job, version, record);
         }
@@ -175,7 +178,7 @@
     }
 
     /// Tells the operator of jobs' rows where this layout does not look for them: the setting was changed while there were jobs.
-    async fn warn_of_other_layout(&self, layout: JobLayout) -> StepResult {
+    async fn warn_about_other_layout(&self, layout: JobLayout) -> StepResult {
         if layout == JobLayout::default() {
             return Ok(());
         }
@@ -201,7 +204,7 @@
             if self.shared.is_stopping() {
                 return Err("stopping".to_string());
             }
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(LOAD_RETRY_DELAY).await;
         }
     }
 
@@ -240,10 +243,10 @@
     fn on_link_event(&mut self, event: LinkEvent) -> StepResult {
         match event {
             LinkEvent::Report { address, mut report, is_new_link } => {
-                report.former.retain(|life| self.may_end(&address, life));
+                report.former.retain(|life| self.may_report_ended(&address, life));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
-                    self.agents.insert(runner.instance.clone(), address);
+                    self.agent_addresses.insert(runner.instance.clone(), address);
                 }
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
@@ -258,15 +261,15 @@
 
     /// Whether an agent may say that a life is over: not when the life is known to be beside another agent. A
     /// heartbeat of another writer, or one that went to the wrong host, names such a life.
-    fn may_end(&mut self, address: &str, life: &InstanceId) -> bool {
-        let known = self.agents.get(life);
+    fn may_report_ended(&mut self, address: &str, life: &InstanceId) -> bool {
+        let known = self.agent_addresses.get(life);
         if known.is_none_or(|known| known == address) {
             return true;
         }
-        if self.disputed.len() >= DISPUTES_KEPT {
-            self.disputed.clear();
+        if self.disputed_instances.len() >= MAX_DISPUTED_INSTANCES {
+            self.disputed_instances.clear();
         }
-        if self.disputed.insert((life.clone(), address.to_string())) {
+        if self.disputed_instances.insert((life.clone(), address.to_string())) {
             let known = known.cloned().unwrap_or_default();
             let fields: [(&str, &dyn Display); 3] =
                 [("instance", life), ("agent", &address), ("known_at", &known)];
@@ -283,16 +286,16 @@
     fn plan(&mut self) {
         self.has_changes = true;
         let started = clock::now();
-        if started >= self.plan_after {
+        if started >= self.next_plan_at {
             self.with_planner(Planner::plan);
-            self.plan_after = clock::now() + clock::elapsed(started) * PLAN_REST;
+            self.next_plan_at = clock::now() + clock::elapsed(started) * PLAN_REST_FACTOR;
             self.has_changes = false;
         }
         if self.write.is_none() {
             self.write = self.next_write();
         }
         self.send_orders();
-        self.ask_advice();
+        self.request_advice();
         let decisions = self.with_planner(Planner::take_decisions).unwrap_or_default();
         for decision in &decisions {
             self.shared.metrics.tasks.with_label_values(&[decision.label()]).inc();
@@ -301,7 +304,7 @@
     }
 
     /// Asks the advice service what the planner wants to know; the answer wakes the loop.
-    fn ask_advice(&self) {
+    fn request_advice(&self) {
         let questions = self.with_planner(Planner::take_questions).unwrap_or_default();
         for question in questions {
             let shared = self.shared.clone();
@@ -314,7 +317,7 @@
                 if answer.is_none() {
                     let (job, _, step) = &question.step;
                     log_event(Level::Warn, "advice_failed", &[("job", job), ("step", step)]);
-                    tokio::time::sleep(ADVICE_PAUSE).await;
+                    tokio::time::sleep(ADVICE_RETRY_DELAY).await;
                 }
                 if let Some(owned) = shared.owned().as_mut() {
                     owned.planner.on_advice(answer, asked_at);
@@ -335,7 +338,8 @@
             let Some(number) = numbered.flatten() else {
                 continue;
             };
-            let link = self.agents.get(&instance).and_then(|address| self.links.get(address));
+            let link =
+                self.agent_addresses.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
                 // A link that has ended is replaced, and its orders are sent anew.
                 let _ = link.orders.send(OrderBatch { instance, number, orders });
