--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -16,13 +16,13 @@
 use crate::process::planning::rows::applied_version;
 
 /// Pause before a write is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What became of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
     /// It is stored under a version. Where the store itself said so, the owner's row was as expected
-    /// after this time, at which the call was sent.
+    /// after this time, at which the call was sent_at.
     Stored(RowVersion, Option<Instant>),
     /// A condition did not hold; the rows that the conditions named.
     Refused(Vec<StoredRow>),
@@ -30,13 +30,16 @@
 
 /// Repeats a write until it is known to be stored or impossible. Each row's condition makes a repeat, or
 /// a first try that is carried out late, harmless.
-pub async fn commit(store: Arc<dyn RowStore>, transaction: &RowTransaction) -> CommitOutcome {
+pub async fn commit_until_settled(
+    store: Arc<dyn RowStore>,
+    transaction: &RowTransaction,
+) -> CommitOutcome {
     let mut is_ambiguous = false;
     let mut failures = 0_u32;
     loop {
-        let sent = clock::now();
+        let sent_at = clock::now();
         match store.commit(transaction).await {
-            Ok(version) => return CommitOutcome::Stored(version, Some(sent)),
+            Ok(version) => return CommitOutcome::Stored(version, Some(sent_at)),
             Err(RowError::Conflict { rows }) => {
                 let applied = applied_version(transaction, &rows).filter(|_| is_ambiguous);
                 return match applied {
@@ -52,6 +55,6 @@
                 failures += 1;
             }
         }
-        tokio::time::sleep(REPEAT_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -24,7 +24,7 @@
 use crate::process::planning::ownership::ConfirmedOwnership;
 use crate::process::planning::planner_writes::EFFECTS_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
-use crate::process::planning::planner_writes::written;
+use crate::process::planning::planner_writes::write_result;
 use crate::process::planning::rows::HOST_PARTITION;
 use crate::process::planning::rows::IMAGES_KEY;
 use crate::process::planning::rows::JOB_TABLE;
@@ -133,7 +133,7 @@
                         self.on_link_event(more)?;
                     }
                 }
-                written = written(&mut self.write) => self.on_written(written)?,
+                result = write_result(&mut self.write) => self.on_write_result(result)?,
                 _ = tick.tick() => self.on_tick(),
                 () = shared.wake.notified() => {}
                 () = tokio::time::sleep(rest), if self.has_changes => {}
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -13,7 +13,7 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::commit_writer::CommitOutcome;
-use crate::process::planning::commit_writer::commit;
+use crate::process::planning::commit_writer::commit_until_settled;
 use crate::process::planning::decision_log::log_load;
 use crate::process::planning::planner_loop::PlannerLoop;
 use crate::process::planning::planner_loop::StepResult;
@@ -37,29 +37,29 @@
 /// Time between two writes of what was learned of images: pairs change over tens of seconds.
 pub(super) const EFFECTS_PERIOD: Duration = Duration::from_secs(4);
 /// Time between two lines of the log that tell what waits and runs.
-const LOAD_LOG: Duration = Duration::from_secs(2);
+const LOAD_LOG_PERIOD: Duration = Duration::from_secs(2);
 /// Time for giving the ownership back at a graceful stop.
-const RELEASE_LIMIT: Duration = Duration::from_millis(1_500);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Ended jobs' rows that are removed at once.
-const FORGET_AT_ONCE: usize = 40;
+const MAX_REMOVED_JOBS: usize = 40;
 
 /// What a write was for.
 pub(super) enum WritePurpose {
     Batch(PlanBatch),
     Heartbeat,
-    Forget(Vec<JobId>),
+    RemoveExpired(Vec<JobId>),
 }
 
 /// A write that is on its way.
 pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitOutcome)>;
 
 impl PlannerLoop {
-    pub(super) fn on_written(
+    pub(super) fn on_write_result(
         &mut self,
-        written: (WritePurpose, RowTransaction, CommitOutcome),
+        result: (WritePurpose, RowTransaction, CommitOutcome),
     ) -> StepResult {
         self.write = None;
-        let (purpose, transaction, outcome) = written;
+        let (purpose, transaction, outcome) = result;
         match outcome {
             CommitOutcome::Stored(version, confirmed_at) => {
                 if let (Some(owned), Some(confirmed_at)) =
@@ -77,7 +77,9 @@
     pub(super) fn on_stored(&mut self, purpose: WritePurpose, version: RowVersion) {
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
-            WritePurpose::Forget(jobs) => jobs.iter().for_each(|job| planner.on_forgotten(job)),
+            WritePurpose::RemoveExpired(jobs) => {
+                jobs.iter().for_each(|job| planner.on_forgotten(job))
+            }
             WritePurpose::Heartbeat => {}
         });
     }
@@ -103,7 +105,7 @@
             WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
             WritePurpose::Heartbeat => {}
             // A row that was to be forgotten has changed; it is tried again with its new version.
-            WritePurpose::Forget(_) => newest
+            WritePurpose::RemoveExpired(_) => newest
                 .into_iter()
                 .for_each(|(job, version, record)| planner.on_record(&job, version, record)),
         });
@@ -128,9 +130,9 @@
         let expired = self.with_planner(|planner| planner.expired_records(kept_for));
         let expired = expired.unwrap_or_default();
         if !expired.is_empty() {
-            return Some(self.write_forget(expired));
+            return Some(self.write_removal(expired));
         }
-        let mut transaction = self.bound_transaction();
+        let mut transaction = self.owner_transaction();
         self.add_heartbeat(&mut transaction);
         Some(self.spawn_write(WritePurpose::Heartbeat, transaction))
     }
@@ -141,7 +143,7 @@
         self.heartbeat_due = now + HEARTBEAT_PERIOD;
         let pending = self.with_planner(|planner| planner.pending()).unwrap_or_default();
         if now >= self.load_log_due {
-            self.load_log_due = now + LOAD_LOG;
+            self.load_log_due = now + LOAD_LOG_PERIOD;
             if let Some(owned) = self.shared.owned().as_ref() {
                 log_load(self.ownership.owner.epoch, &owned.planner);
             }
@@ -165,9 +167,9 @@
         }
     }
 
-    pub(super) fn write_forget(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
-        expired.truncate(FORGET_AT_ONCE);
-        let mut transaction = self.bound_transaction();
+    pub(super) fn write_removal(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
+        expired.truncate(MAX_REMOVED_JOBS);
+        let mut transaction = self.owner_transaction();
         self.add_heartbeat(&mut transaction);
         for (job, version) in &expired {
             let name = self.shared.settings.layout.row(job);
@@ -175,11 +177,11 @@
             transaction.removes.push(name);
         }
         let jobs = expired.into_iter().map(|(job, _)| job).collect();
-        self.spawn_write(WritePurpose::Forget(jobs), transaction)
+        self.spawn_write(WritePurpose::RemoveExpired(jobs), transaction)
     }
 
     /// A transaction that only the owner's own epoch can apply.
-    pub(super) fn bound_transaction(&self) -> RowTransaction {
+    pub(super) fn owner_transaction(&self) -> RowTransaction {
         RowTransaction {
             expected: vec![(owner_row(), self.ownership.version)],
             ..RowTransaction::default()
@@ -193,7 +195,7 @@
     ) -> WriteTask {
         let store = self.shared.store.clone();
         tokio::spawn(async move {
-            let outcome = commit(store, &transaction).await;
+            let outcome = commit_until_settled(store, &transaction).await;
             (purpose, transaction, outcome)
         })
     }
@@ -201,7 +203,7 @@
     /// Gives the ownership back, so that another process takes over at once.
     pub(super) async fn release(&mut self) {
         let released = OwnerRow { released: true, ..self.ownership.owner.clone() };
-        let mut transaction = self.bound_transaction();
+        let mut transaction = self.owner_transaction();
         transaction.puts.push((owner_row(), encode(&released)));
         let store = self.shared.store.clone();
         let release = async {
@@ -209,21 +211,21 @@
                 // Its outcome is found by the next owner.
                 let _ = write.await;
             }
-            commit(store, &transaction).await
+            commit_until_settled(store, &transaction).await
         };
-        let is_released = tokio::time::timeout(RELEASE_LIMIT, release).await.is_ok();
+        let is_released = tokio::time::timeout(RELEASE_TIMEOUT, release).await.is_ok();
         log_event(Level::Info, "ownership_released", &[("released", &is_released)]);
     }
 }
 
 /// The end of the write on its way; never, when there is none.
-pub(super) async fn written(
+pub(super) async fn write_result(
     write: &mut Option<WriteTask>,
 ) -> (WritePurpose, RowTransaction, CommitOutcome) {
     if let Some(task) = write
-        && let Ok(written) = task.await
+        && let Ok(result) = task.await
     {
-        return written;
+        return result;
     }
     std::future::pending().await
 }
