--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -19,7 +19,7 @@
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 use crate::process::planning::shared::PlannerShared;
-use crate::process::planning::store_access::ANSWER_RESERVE;
+use crate::process::planning::store_access::ANSWER_RESERVE_TIME;
 use crate::process::planning::store_access::StoreAccess;
 use crate::version::queue_table::QueueTable;
 use crate::workflow::progress::JobEnd;
@@ -29,7 +29,7 @@
 use crate::workflow::spec::WorkflowSpec;
 
 /// Pause before a call whose answer was lost is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// The job desk of a planner process.
 pub struct JobService {
@@ -49,7 +49,7 @@
     }
 
     /// Stores a job; a lost answer is settled by repeating the call, whose condition allows it once.
-    async fn store(
+    async fn insert_job(
         &self,
         job: &str,
         record: &JobRecord,
@@ -65,28 +65,28 @@
         loop {
             match self.store.commit(&transaction, deadline).await {
                 Ok(_) => return Ok(()),
-                Err(RowError::Conflict { rows }) => return check_same(&rows, record),
+                Err(RowError::Conflict { rows }) => return check_same_job(&rows, record),
                 Err(RowError::Refused { reason }) if !may_be_stored => {
                     return Err(JobRefusal::NotRun { reason });
                 }
                 Err(error) => {
                     may_be_stored |= !matches!(error, RowError::Refused { .. });
-                    if !self.may_repeat(deadline) {
+                    if !self.may_retry(deadline) {
                         return Err(JobRefusal::Unknown { reason: error.to_string() });
                     }
                 }
             }
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
     /// Whether a call without a known outcome is worth another try: while the store is out of reach the
     /// caller is told at once, and may ask again.
-    fn may_repeat(&self, deadline: CallDeadline) -> bool {
-        self.shared.is_store_near() && deadline.left() >= ANSWER_RESERVE + REPEAT_PAUSE
+    fn may_retry(&self, deadline: CallDeadline) -> bool {
+        self.shared.is_store_near() && deadline.left() >= ANSWER_RESERVE_TIME + RETRY_DELAY
     }
 
-    async fn read(
+    async fn read_job(
         &self,
         job: &str,
         deadline: CallDeadline,
@@ -99,7 +99,7 @@
     async fn mark_cancelled(&self, job: &str, deadline: CallDeadline) -> Result<bool, JobRefusal> {
         let mut may_be_stored = false;
         loop {
-            let row = self.read(job, deadline).await;
+            let row = self.read_job(job, deadline).await;
             let outcome = match row {
                 Ok(row) => self.try_cancel(row, deadline).await,
                 Err(refusal) => Err(RowError::Refused { reason: refusal.to_string() }),
@@ -112,10 +112,10 @@
                 }
                 Err(error) => {
                     may_be_stored = true;
-                    if !self.may_repeat(deadline) {
+                    if !self.may_retry(deadline) {
                         return Err(JobRefusal::Unknown { reason: error.to_string() });
                     }
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -153,7 +153,7 @@
 }
 
 /// A name that is taken belongs to the same job, or the submission is refused.
-fn check_same(rows: &[StoredRow], record: &JobRecord) -> Result<(), JobRefusal> {
+fn check_same_job(rows: &[StoredRow], record: &JobRecord) -> Result<(), JobRefusal> {
     let stored: Option<JobRecord> = rows.iter().find_map(decode);
     match stored {
         Some(stored) if stored.digest() != record.digest() => Err(JobRefusal::OtherJob),
@@ -185,12 +185,12 @@
     ) -> Result<(), JobRefusal> {
         let queue = spec.policy.queue.clone();
         let digest = spec_digest(&spec);
-        let begun = clock::now();
+        let started_at = clock::now();
         let record = JobRecord::Live { spec, cancelled: false };
-        let result = self.store(job, &record, deadline).await;
+        let result = self.insert_job(job, &record, deadline).await;
         let outcome = result.as_ref().map_or_else(ToString::to_string, |()| "accepted".to_string());
         let metrics = &self.shared.metrics;
-        metrics.latency.observe(clock::elapsed(begun).as_secs_f64());
+        metrics.latency.observe(clock::elapsed(started_at).as_secs_f64());
         metrics.outcomes.with_label_values(&[queue.as_str(), outcome_label(&result), ""]).inc();
         log_event(
             Level::Info,
@@ -208,7 +208,7 @@
         if let StatusAnswer::Known(status) = self.planner.status(job).await {
             return Ok(Some(status));
         }
-        let row = self.read(job, deadline).await?;
+        let row = self.read_job(job, deadline).await?;
         Ok(row.as_ref().and_then(decode).map(|record| match record {
             JobRecord::Ended { end, .. } => JobStatus::Ended(end),
             JobRecord::Live { cancelled: true, .. } => JobStatus::Ended(JobEnd::Cancelled),
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -44,7 +44,7 @@
 /// Time after a round through the other processes that was in vain in which none is tried.
 const VAIN_PAUSE: Duration = Duration::from_millis(400);
 /// Kept of the caller's time, so that an answer still reaches it.
-pub(super) const ANSWER_RESERVE: Duration = Duration::from_millis(150);
+pub(super) const ANSWER_RESERVE_TIME: Duration = Duration::from_millis(150);
 
 /// Access of a job desk to the store.
 pub struct StoreAccess {
@@ -195,7 +195,7 @@
 
 /// Time for which a call may still be waited for.
 fn time_left(deadline: CallDeadline) -> Duration {
-    deadline.left().saturating_sub(ANSWER_RESERVE)
+    deadline.left().saturating_sub(ANSWER_RESERVE_TIME)
 }
 
 fn silent_here() -> RowError {
