--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -19,7 +19,7 @@
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 use crate::process::planning::shared::PlannerShared;
-use crate::process::planning::store_access::ANSWER_RESERVE_TIME;
+use crate::process::planning::store_access::ANSWER_RESERVE;
 use crate::process::planning::store_access::StoreAccess;
 use crate::version::queue_table::QueueTable;
 use crate::workflow::progress::JobEnd;
@@ -83,7 +83,7 @@
     /// Whether a call without a known outcome is worth another try: while the store is out of reach the
     /// caller is told at once, and may ask again.
     fn may_retry(&self, deadline: CallDeadline) -> bool {
-        self.shared.is_store_near() && deadline.left() >= ANSWER_RESERVE_TIME + RETRY_DELAY
+        self.shared.is_store_reachable() && deadline.left() >= ANSWER_RESERVE + RETRY_DELAY
     }
 
     async fn read_job(
@@ -166,7 +166,7 @@
     fn is_ready(&self) -> bool {
         !self.shared.is_stopping()
             && self.shared.queues.borrow().is_some()
-            && self.shared.is_store_near()
+            && self.shared.is_store_reachable()
     }
 
     fn queues(&self) -> Option<Arc<QueueTable>> {
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether the store has answered this process of late.
-    pub fn is_store_near(&self) -> bool {
+    pub fn is_store_reachable(&self) -> bool {
         self.store.health().is_near(clock::now())
     }
 
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -33,18 +33,18 @@
 use crate::process::planning::shared::PlannerShared;
 
 /// Time for a direct call after which it is asked whether the store is silent here or slow for all.
-const PATIENCE: Duration = Duration::from_millis(600);
+const DIRECT_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time for a call through another process.
-const RELAY_LIMIT: Duration = Duration::from_millis(650);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(650);
 /// Time for a connection to another process; processes are a millisecond apart.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Other processes that are asked for one call: the store turns a part of the hosts away, a third of them in what was
 /// seen, so that three at random fail together in one case of 27.
-const RELAYS: usize = 3;
+const MAX_RELAYS: usize = 3;
 /// Time after a round through the other processes that was in vain in which none is tried.
-const VAIN_PAUSE: Duration = Duration::from_millis(400);
+const RELAY_BACKOFF: Duration = Duration::from_millis(400);
 /// Kept of the caller's time, so that an answer still reaches it.
-pub(super) const ANSWER_RESERVE_TIME: Duration = Duration::from_millis(150);
+pub(super) const ANSWER_RESERVE: Duration = Duration::from_millis(150);
 
 /// Access of a job desk to the store.
 pub struct StoreAccess {
@@ -52,7 +52,7 @@
     peers: ConnectionCache<PlannerRpcClient>,
     /// Where the next round through the other processes begins, so that no one of them carries all.
     next_peer: AtomicUsize,
-    vain_since: Mutex<Option<Instant>>,
+    relays_failed_at: Mutex<Option<Instant>>,
 }
 
 impl StoreAccess {
@@ -62,7 +62,7 @@
             shared,
             peers: ConnectionCache::default(),
             next_peer: AtomicUsize::new(0),
-            vain_since: Mutex::new(None),
+            relays_failed_at: Mutex::new(None),
         }
     }
 
@@ -74,9 +74,9 @@
     ) -> Result<RowVersion, RowError> {
         let direct = self.shared.store.commit(transaction);
         let relay = |client: PlannerRpcClient| async move {
-            client.relay_commit(call_within(RELAY_LIMIT), transaction.clone()).await
+            client.relay_commit(call_within(RELAY_TIMEOUT), transaction.clone()).await
         };
-        self.settle(direct, relay, deadline).await
+        self.call_with_fallback(direct, relay, deadline).await
     }
 
     /// Reads a row.
@@ -87,13 +87,13 @@
     ) -> Result<Option<StoredRow>, RowError> {
         let direct = self.shared.store.get(name);
         let relay = |client: PlannerRpcClient| async move {
-            client.relay_get(call_within(RELAY_LIMIT), name.clone()).await
+            client.relay_get(call_within(RELAY_TIMEOUT), name.clone()).await
         };
-        self.settle(direct, relay, deadline).await
+        self.call_with_fallback(direct, relay, deadline).await
     }
 
     /// Calls the store itself, and through other processes where it is silent here or refuses.
-    async fn settle<T, E, F, C>(
+    async fn call_with_fallback<T, E, F, C>(
         &self,
         direct: impl Future<Output = Result<T, RowError>>,
         relay: F,
@@ -103,38 +103,38 @@
         F: Fn(PlannerRpcClient) -> C,
         C: Future<Output = Result<Result<T, RowError>, E>>,
     {
-        if !self.shared.is_store_near() {
-            return self.relayed(silent_here(), relay, deadline).await;
+        if !self.shared.is_store_reachable() {
+            return self.call_through_relays(unreachable_here(), relay, deadline).await;
         }
-        let sent = clock::now();
+        let sent_at = clock::now();
         tokio::pin!(direct);
-        let first = timeout(PATIENCE.min(time_left(deadline)), &mut direct).await;
+        let first = timeout(DIRECT_CALL_TIMEOUT.min(time_left(deadline)), &mut direct).await;
         if let Ok(result) = first {
             return match result {
-                Err(error) if is_worth_a_relay(&error) => {
-                    self.relayed(error, relay, deadline).await
+                Err(error) if is_worth_relaying(&error) => {
+                    self.call_through_relays(error, relay, deadline).await
                 }
                 settled => settled,
             };
         }
-        let mut failure = silent_here();
-        if !self.shared.store.health().has_answered_since(sent) {
+        let mut failure = unreachable_here();
+        if !self.shared.store.health().has_answered_since(sent_at) {
             self.shared.store.health().on_silence();
-            failure = match self.relayed(failure, relay, deadline).await {
-                Err(error) if is_worth_a_relay(&error) => error,
+            failure = match self.call_through_relays(failure, relay, deadline).await {
+                Err(error) if is_worth_relaying(&error) => error,
                 settled => return settled,
             };
         }
-        match timeout(time_left(deadline), direct).await.unwrap_or_else(|_| Err(no_answer())) {
+        match timeout(time_left(deadline), direct).await.unwrap_or_else(|_| Err(timed_out())) {
             // That the store refuses the call here says nothing of what it did for the others.
-            Err(error) if is_worth_a_relay(&error) => Err(worse(failure, error)),
+            Err(error) if is_worth_relaying(&error) => Err(more_ambiguous(failure, error)),
             settled => settled,
         }
     }
 
     /// Repeats a call that the store did not answer here through other processes, one after another, as long as the caller
     /// waits.
-    async fn relayed<T, E, F, C>(
+    async fn call_through_relays<T, E, F, C>(
         &self,
         mut failure: RowError,
         relay: F,
@@ -144,14 +144,14 @@
         F: Fn(PlannerRpcClient) -> C,
         C: Future<Output = Result<Result<T, RowError>, E>>,
     {
-        if self.is_relay_vain() {
+        if self.is_backing_off() {
             return Err(failure);
         }
-        for address in self.relays() {
+        for address in self.relay_addresses() {
             if time_left(deadline).is_zero() {
                 return Err(failure);
             }
-            let connected = timeout(CONNECT_LIMIT, self.peers.client(&address)).await;
+            let connected = timeout(CONNECT_TIMEOUT, self.peers.client(&address)).await;
             let Ok(Ok(client)) = connected else {
                 continue;
             };
@@ -160,57 +160,57 @@
                 Ok(Err(_)) => {
                     // The connection may have gone silent.
                     self.peers.drop_client(&address);
-                    Err(no_answer())
+                    Err(timed_out())
                 }
                 // The caller's time is over, which says nothing of the connection.
-                Err(_) => Err(no_answer()),
+                Err(_) => Err(timed_out()),
             };
             match answer {
-                Err(error) if is_worth_a_relay(&error) => failure = worse(failure, error),
+                Err(error) if is_worth_relaying(&error) => failure = more_ambiguous(failure, error),
                 settled => return settled,
             }
         }
-        *self.vain_since.lock().unwrap_or_else(PoisonError::into_inner) = Some(clock::now());
+        *self.relays_failed_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(clock::now());
         Err(failure)
     }
 
     /// Whom to ask next: who plans, since it writes without pause, and others in turn.
-    fn relays(&self) -> Vec<String> {
+    fn relay_addresses(&self) -> Vec<String> {
         let mut peers = self.shared.peers();
         if let Some((_, others)) = peers.split_first_mut().filter(|(_, others)| !others.is_empty())
         {
-            let start = self.next_peer.fetch_add(RELAYS - 1, Ordering::Relaxed) % others.len();
+            let start = self.next_peer.fetch_add(MAX_RELAYS - 1, Ordering::Relaxed) % others.len();
             others.rotate_left(start);
         }
-        peers.truncate(RELAYS);
+        peers.truncate(MAX_RELAYS);
         peers
     }
 
     /// Whether no other process reached the store either a moment ago; then callers are told at once.
-    fn is_relay_vain(&self) -> bool {
-        let since = *self.vain_since.lock().unwrap_or_else(PoisonError::into_inner);
-        since.is_some_and(|since| clock::elapsed(since) < VAIN_PAUSE)
+    fn is_backing_off(&self) -> bool {
+        let since = *self.relays_failed_at.lock().unwrap_or_else(PoisonError::into_inner);
+        since.is_some_and(|since| clock::elapsed(since) < RELAY_BACKOFF)
     }
 }
 
 /// Time for which a call may still be waited for.
 fn time_left(deadline: CallDeadline) -> Duration {
-    deadline.left().saturating_sub(ANSWER_RESERVE_TIME)
+    deadline.left().saturating_sub(ANSWER_RESERVE)
 }
 
-fn silent_here() -> RowError {
+fn unreachable_here() -> RowError {
     RowError::Refused { reason: "the store does not answer here".to_string() }
 }
 
-fn no_answer() -> RowError {
+fn timed_out() -> RowError {
     RowError::Ambiguous { reason: "no answer in time".to_string() }
 }
 
-fn is_worth_a_relay(error: &RowError) -> bool {
+fn is_worth_relaying(error: &RowError) -> bool {
     matches!(error, RowError::Refused { .. } | RowError::Ambiguous { .. })
 }
 
 /// Of two failures the one that leaves more open.
-fn worse(first: RowError, second: RowError) -> RowError {
+fn more_ambiguous(first: RowError, second: RowError) -> RowError {
     if matches!(first, RowError::Ambiguous { .. }) { first } else { second }
 }
