--- a/src/process/planning/planner_client.rs
+++ b/src/process/planning/planner_client.rs
@@ -26,7 +26,7 @@
 use crate::process::rpc_server::spawn_rpc_server;
 
 /// Time for the planner's answer; after it the store is asked.
-const STATUS_LIMIT: Duration = Duration::from_millis(300);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Client of whoever plans.
 pub struct PlannerClient {
@@ -43,7 +43,7 @@
     /// The state of a job, as far as the planner knows and answers.
     pub async fn status(&self, job: &str) -> StatusAnswer {
         if let Some(owned) = self.shared.owned().as_ref() {
-            return known(owned.planner.status(job));
+            return status_answer(owned.planner.status(job));
         }
         let owner = self.shared.view().owner.clone();
         let Some(owner) = owner.filter(|owner| !owner.released) else {
@@ -52,7 +52,7 @@
         let Ok(client) = self.connections.client(&owner.address).await else {
             return StatusAnswer::Unknown;
         };
-        match client.status(call_within(STATUS_LIMIT), job.to_string()).await {
+        match client.status(call_within(STATUS_TIMEOUT), job.to_string()).await {
             Ok(answer) => answer,
             Err(_) => {
                 // The connection may have gone silent; the store answers instead.
@@ -63,7 +63,7 @@
     }
 }
 
-fn known(status: Option<crate::workflow::progress::JobStatus>) -> StatusAnswer {
+fn status_answer(status: Option<crate::workflow::progress::JobStatus>) -> StatusAnswer {
     status.map_or(StatusAnswer::Unknown, StatusAnswer::Known)
 }
 
@@ -82,7 +82,7 @@
 impl PlannerRpc for PlannerServer {
     async fn status(self, _: Context, job: JobId) -> StatusAnswer {
         let owned = self.shared.owned();
-        known(owned.as_ref().and_then(|owned| owned.planner.status(&job)))
+        status_answer(owned.as_ref().and_then(|owned| owned.planner.status(&job)))
     }
 
     async fn relay_commit(
@@ -91,20 +91,20 @@
         transaction: RowTransaction,
     ) -> Result<RowVersion, RowError> {
         if !self.may_relay() {
-            return Err(out_of_reach());
+            return Err(store_unreachable());
         }
         self.shared.store.commit(&transaction).await
     }
 
     async fn relay_get(self, _: Context, name: RowName) -> Result<Option<StoredRow>, RowError> {
         if !self.may_relay() {
-            return Err(out_of_reach());
+            return Err(store_unreachable());
         }
         self.shared.store.get(&name).await
     }
 }
 
-fn out_of_reach() -> RowError {
+fn store_unreachable() -> RowError {
     RowError::Refused { reason: "the store does not answer there either".to_string() }
 }
 
