--- a/src/process/planning/job_http.rs
+++ b/src/process/planning/job_http.rs
@@ -30,13 +30,13 @@
 use crate::workflow::spec::WorkflowSpec;
 
 /// Longest wait of a caller for an answer.
-const CALL_WAIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest submission in bytes: a job's row in the store has 64 KiB at most.
-const LARGEST_BODY: usize = 60_000;
+const MAX_BODY_BYTES: usize = 60_000;
 /// Longest name of a job in bytes.
-const LONGEST_NAME: usize = 100;
+const MAX_JOB_ID_BYTES: usize = 100;
 /// When a caller that was refused should come back, in seconds.
-const COME_BACK: &str = "1";
+const RETRY_AFTER_SECONDS: &str = "1";
 
 /// A submission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
         .route("/v1/workflows", post(submit))
         .route("/v1/workflows/{job}", get(status).delete(cancel))
         .route("/v1/queues/{queue}", get(pending))
-        .layer(DefaultBodyLimit::max(LARGEST_BODY));
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES));
     closing_after_unread(router).with_state(gate)
 }
 
@@ -100,21 +100,21 @@
 ) -> Response {
     let body = match body {
         Ok(Json(body)) => body,
-        Err(rejection) => return failure(rejection.status(), rejection.body_text()),
+        Err(rejection) => return error_response(rejection.status(), rejection.body_text()),
     };
     let request = match decode_request(body) {
         Ok(request) => request,
-        Err(text) => return failure(StatusCode::UNPROCESSABLE_ENTITY, text),
+        Err(text) => return error_response(StatusCode::UNPROCESSABLE_ENTITY, text),
     };
-    if request.id.is_empty() || request.id.len() > LONGEST_NAME {
-        let text = format!("id: give 1 to {LONGEST_NAME} bytes");
-        return failure(StatusCode::BAD_REQUEST, text);
+    if request.id.is_empty() || request.id.len() > MAX_JOB_ID_BYTES {
+        let text = format!("id: give 1 to {MAX_JOB_ID_BYTES} bytes");
+        return error_response(StatusCode::BAD_REQUEST, text);
     }
     let Some(table) = gate.queues() else {
-        return refusal(&JobRefusal::NotRun { reason: "no_configuration".to_string() });
+        return refusal_response(&JobRefusal::NotRun { reason: "no_configuration".to_string() });
     };
     let Some(policy) = table.find_queue(&request.queue) else {
-        return failure(StatusCode::NOT_FOUND, format!("no queue '{}'", request.queue));
+        return error_response(StatusCode::NOT_FOUND, format!("no queue '{}'", request.queue));
     };
     let spec = WorkflowSpec {
         policy: policy.clone(),
@@ -127,11 +127,11 @@
     };
     let findings = spec.findings();
     if !findings.is_empty() {
-        return failure(StatusCode::BAD_REQUEST, findings.join("; "));
+        return error_response(StatusCode::BAD_REQUEST, findings.join("; "));
     }
-    match gate.submit(&request.id, spec, CallDeadline::after(CALL_WAIT)).await {
+    match gate.submit(&request.id, spec, CallDeadline::after(CALL_TIMEOUT)).await {
         Ok(()) => Json(JobResponse::default()).into_response(),
-        Err(refused) => refusal(&refused),
+        Err(refused) => refusal_response(&refused),
     }
 }
 
@@ -147,34 +147,34 @@
 }
 
 async fn status(State(gate): State<SharedGate>, Path(job): Path<JobId>) -> Response {
-    match gate.status(&job, CallDeadline::after(CALL_WAIT)).await {
+    match gate.status(&job, CallDeadline::after(CALL_TIMEOUT)).await {
         Ok(Some(status)) => {
-            let state = Some(state_word(status).to_string());
+            let state = Some(state_name(status).to_string());
             Json(JobResponse { state, ..JobResponse::default() }).into_response()
         }
-        Ok(None) => failure(StatusCode::NOT_FOUND, format!("no job '{job}'")),
-        Err(refused) => refusal(&refused),
+        Ok(None) => error_response(StatusCode::NOT_FOUND, format!("no job '{job}'")),
+        Err(refused) => refusal_response(&refused),
     }
 }
 
 async fn cancel(State(gate): State<SharedGate>, Path(job): Path<JobId>) -> Response {
-    match gate.cancel(&job, CallDeadline::after(CALL_WAIT)).await {
+    match gate.cancel(&job, CallDeadline::after(CALL_TIMEOUT)).await {
         Ok(true) => Json(JobResponse::default()).into_response(),
-        Ok(false) => failure(StatusCode::NOT_FOUND, format!("no job '{job}'")),
-        Err(refused) => refusal(&refused),
+        Ok(false) => error_response(StatusCode::NOT_FOUND, format!("no job '{job}'")),
+        Err(refused) => refusal_response(&refused),
     }
 }
 
 async fn pending(State(gate): State<SharedGate>, Path(queue): Path<QueueName>) -> Response {
     let is_known = gate.queues().is_some_and(|table| table.find_queue(&queue).is_some());
     if !is_known {
-        return failure(StatusCode::NOT_FOUND, format!("no queue '{queue}'"));
+        return error_response(StatusCode::NOT_FOUND, format!("no queue '{queue}'"));
     }
     let pending = Some(gate.pending(&queue));
     Json(JobResponse { pending, ..JobResponse::default() }).into_response()
 }
 
-fn state_word(status: JobStatus) -> &'static str {
+fn state_name(status: JobStatus) -> &'static str {
     match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
@@ -182,18 +182,18 @@
     }
 }
 
-fn refusal(refused: &JobRefusal) -> Response {
+fn refusal_response(refused: &JobRefusal) -> Response {
     let text = refused.to_string();
     match refused {
         JobRefusal::NotRun { .. } => {
-            let answer = failure(StatusCode::SERVICE_UNAVAILABLE, text);
-            ([(RETRY_AFTER, COME_BACK)], answer).into_response()
+            let answer = error_response(StatusCode::SERVICE_UNAVAILABLE, text);
+            ([(RETRY_AFTER, RETRY_AFTER_SECONDS)], answer).into_response()
         }
-        JobRefusal::OtherJob => failure(StatusCode::CONFLICT, text),
-        JobRefusal::Unknown { .. } => failure(StatusCode::GATEWAY_TIMEOUT, text),
+        JobRefusal::OtherJob => error_response(StatusCode::CONFLICT, text),
+        JobRefusal::Unknown { .. } => error_response(StatusCode::GATEWAY_TIMEOUT, text),
     }
 }
 
-fn failure(status: StatusCode, text: String) -> Response {
+fn error_response(status: StatusCode, text: String) -> Response {
     (status, Json(JobResponse { error: Some(text), ..JobResponse::default() })).into_response()
 }
