--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -45,7 +45,7 @@
 
 /// Time between the fall of readiness and the close of connections: two looks of the balancer, one
 /// a second, and some.
-const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2_300);
 
 /// The addresses on which a planner process listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,24 +103,24 @@
         peer_watch::spawn_peer_watch(shared.clone());
         planner_client::spawn_planner_rpc(internal, shared.clone());
         let gate: Arc<dyn JobGate> = Arc::new(JobService::open(shared.clone()));
-        let (close, closed) = StopSwitch::new();
+        let (caller_switch, caller_stop) = StopSwitch::new();
         let limits = HttpLimits::default();
         let router = caller_gate::router(gate.clone());
         if let Some(jobs) = jobs {
-            spawn_http_server(jobs, job_http::router(gate.clone()), limits, closed.clone());
+            spawn_http_server(jobs, job_http::router(gate.clone()), limits, caller_stop.clone());
         }
-        let server = spawn_http_server(callers, router, limits, closed);
+        let server = spawn_http_server(callers, router, limits, caller_stop);
         // It answers until the process ends, so that the balancer learns of the stop.
-        let (kept, never) = StopSwitch::new();
-        spawn_http_server(ready, caller_gate::ready_router(gate), limits, never);
+        let (ready_switch, ready_stop) = StopSwitch::new();
+        spawn_http_server(ready, caller_gate::ready_router(gate), limits, ready_stop);
         let elector = OwnershipElector::spawn(shared.clone());
         let running = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[("id", &shared.settings.id)]);
             shared.set_stopping();
             let drain = async {
-                tokio::time::sleep(READINESS_NOTICE).await;
-                close.stop();
+                tokio::time::sleep(READINESS_PROPAGATION_TIME).await;
+                caller_switch.stop();
                 // The server's task ends when its last connection has; a panic has been printed.
                 let _ = server.await;
                 let _ = elector.await;
@@ -129,7 +129,7 @@
                 log_event(Level::Error, "drain_limit_passed", &[("id", &shared.settings.id)]);
             }
             log_event(Level::Info, "stopped", &[("id", &shared.settings.id)]);
-            drop(kept);
+            drop(ready_switch);
         });
         Ok(PlannerProcess { addresses, running })
     }
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -110,7 +110,7 @@
             if let Err(error) = &watched {
                 self.on_failure(error);
             }
-            self.shared.pace_watch(&watched).await;
+            self.shared.pace_retries(&watched).await;
             if watched.is_ok() && self.is_takeover_due() {
                 self.take_over().await;
             }
@@ -213,7 +213,7 @@
             // If it was written all the same, the next look at the row shows it.
             Err(error) => {
                 self.on_failure(&error);
-                self.shared.pace_watch(&Err::<(), RowError>(error)).await;
+                self.shared.pace_retries(&Err::<(), RowError>(error)).await;
             }
         }
     }
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -126,8 +126,8 @@
         if !is_heartbeat_due {
             return None;
         }
-        let kept_for = self.shared.settings.kept_for;
-        let expired = self.with_planner(|planner| planner.expired_records(kept_for));
+        let retention = self.shared.settings.ended_job_retention;
+        let expired = self.with_planner(|planner| planner.expired_records(retention));
         let expired = expired.unwrap_or_default();
         if !expired.is_empty() {
             return Some(self.write_removal(expired));
--- a/src/process/planning/queue_watch.rs
+++ b/src/process/planning/queue_watch.rs
@@ -27,7 +27,7 @@
         let mut has_failed = false;
         loop {
             let followed = follow(&shared, after).await;
-            shared.pace_watch(&followed).await;
+            shared.pace_retries(&followed).await;
             match followed {
                 Ok(version) => {
                     if std::mem::take(&mut has_failed) {
--- a/src/process/planning/registration.rs
+++ b/src/process/planning/registration.rs
@@ -14,7 +14,7 @@
 use crate::process::planning::rows::encode;
 
 /// Pause before the address is written again after the store did not take it.
-const REGISTER_PAUSE: Duration = Duration::from_millis(300);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Writes a process's address into a table until the store has it. The row is the same at each start.
 pub async fn register(store: Arc<dyn RowStore>, table: &str, host: String, address: String) {
@@ -24,7 +24,7 @@
         RowTransaction { puts: vec![(name, encode(&row))], ..RowTransaction::default() };
     while let Err(error) = store.commit(&transaction).await {
         log_event(Level::Warn, "register_failed", &[("error", &error)]);
-        tokio::time::sleep(REGISTER_PAUSE).await;
+        tokio::time::sleep(REGISTER_RETRY_DELAY).await;
     }
     log_event(Level::Info, "registered", &[("address", &address)]);
 }
--- a/src/process/planning/settings.rs
+++ b/src/process/planning/settings.rs
@@ -9,13 +9,13 @@
 use crate::process::planning::rows::JobLayout;
 
 /// Time between the request to stop and the end by force, without a setting.
-const STOP_GRACE: Duration = Duration::from_secs(6);
+const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(6);
 /// Kept of that time, so that a process that drains until the last moment still ends by itself.
 const STOP_RESERVE: Duration = Duration::from_millis(700);
 /// Most partitions of the jobs' rows: each is read at a takeover, and one transaction of the planner names up to 100 rows.
-const MOST_PARTITIONS: u32 = 64;
+const MAX_JOB_PARTITIONS: u32 = 64;
 /// How long the state of an ended job is kept, without a setting.
-const KEPT_FOR: Duration = Duration::from_secs(120);
+const DEFAULT_JOB_RETENTION: Duration = Duration::from_secs(120);
 
 /// Settings of a planner process.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +45,7 @@
     /// Share of a core that the process may use; those with more plan first.
     pub processor_share: f64,
     /// How long the state of an ended job is kept.
-    pub kept_for: Duration,
+    pub ended_job_retention: Duration,
 }
 
 impl PlannerSettings {
@@ -74,10 +74,10 @@
             layout: read_layout(&mut reader),
             advice: reader.text("advice", "address").filter(|text| !text.is_empty()),
             drain_limit: reader
-                .span("planner", "stop-grace", STOP_GRACE)
+                .span("planner", "stop-grace", DEFAULT_STOP_GRACE)
                 .saturating_sub(STOP_RESERVE),
             processor_share: reader.value("planner", "processor-share", 1.0),
-            kept_for: reader.span("jobs", "kept-for", KEPT_FOR),
+            ended_job_retention: reader.span("jobs", "kept-for", DEFAULT_JOB_RETENTION),
         };
         reader.finish().or_value(settings)
     }
@@ -131,8 +131,8 @@
 
 fn read_layout(reader: &mut IniReader) -> JobLayout {
     let partitions = reader.value("store", "job-partitions", JobLayout::default().partitions);
-    if !(1..=MOST_PARTITIONS).contains(&partitions) {
-        reader.report("store", "job-partitions", &format!("give 1 to {MOST_PARTITIONS}"));
+    if !(1..=MAX_JOB_PARTITIONS).contains(&partitions) {
+        reader.report("store", "job-partitions", &format!("give 1 to {MAX_JOB_PARTITIONS}"));
     }
     JobLayout { partitions }
 }
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes in how a call of a watch ended, and waits after a failure until it may be made again.
-    pub async fn pace_watch<T>(&self, result: &Result<T, RowError>) {
+    pub async fn pace_retries<T>(&self, result: &Result<T, RowError>) {
         if !result.as_ref().is_err_and(|error| *error != RowError::HistoryGone) {
             self.retry_pace().on_answer();
             return;
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -62,7 +62,7 @@
     let mut has_failed = false;
     loop {
         let read = next_rows(shared.store.as_ref(), table, &partitions, after).await;
-        shared.pace_watch(&read).await;
+        shared.pace_retries(&read).await;
         match read {
             Ok((rows, version)) => {
                 if std::mem::take(&mut has_failed) {
