--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -22,7 +22,7 @@
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderBatch;
 use crate::process::planning::ownership::ConfirmedOwnership;
-use crate::process::planning::planner_writes::EFFECTS_PERIOD;
+use crate::process::planning::planner_writes::INTERFERENCE_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::write_result;
 use crate::process::planning::rows::HOST_PARTITION;
@@ -66,8 +66,8 @@
     events: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) heartbeat_due: Instant,
-    pub(super) effects_due: Instant,
-    pub(super) written_effects: LearnedEffects,
+    pub(super) interference_due: Instant,
+    pub(super) written_interference: LearnedEffects,
     pub(super) load_log_due: Instant,
     /// Before this the planner does not look for places again.
     next_plan_at: Instant,
@@ -91,8 +91,8 @@
             events,
             write: None,
             heartbeat_due: clock::now(),
-            effects_due: clock::now() + EFFECTS_PERIOD,
-            written_effects: LearnedEffects::default(),
+            interference_due: clock::now() + INTERFERENCE_PERIOD,
+            written_interference: LearnedEffects::default(),
             load_log_due: clock::now(),
             next_plan_at: clock::now(),
             has_changes: false,
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -35,7 +35,7 @@
 /// Time between two pulses.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
 /// Time between two writes of what was learned of images: pairs change over tens of seconds.
-pub(super) const EFFECTS_PERIOD: Duration = Duration::from_secs(4);
+pub(super) const INTERFERENCE_PERIOD: Duration = Duration::from_secs(4);
 /// Time between two lines of the log that tell what waits and runs.
 const LOAD_LOG_PERIOD: Duration = Duration::from_secs(2);
 /// Time for giving the ownership back at a graceful stop.
@@ -151,19 +151,19 @@
         let heartbeat = HeartbeatRow { epoch: self.ownership.owner.epoch, pending };
         let name = RowName::new(OWNER_TABLE, PARTITION, PULSE_KEY);
         transaction.puts.push((name, encode(&heartbeat)));
-        if now >= self.effects_due {
-            self.effects_due = now + EFFECTS_PERIOD;
-            self.add_effects(transaction);
+        if now >= self.interference_due {
+            self.interference_due = now + INTERFERENCE_PERIOD;
+            self.add_interference(transaction);
         }
     }
 
     /// Adds what was learned of images, if that is something new.
-    fn add_effects(&mut self, transaction: &mut RowTransaction) {
+    fn add_interference(&mut self, transaction: &mut RowTransaction) {
         let learned = self.with_planner(|planner| planner.learned()).unwrap_or_default();
-        if learned != self.written_effects {
+        if learned != self.written_interference {
             let name = RowName::new(LEARNED_TABLE, PARTITION, IMAGES_KEY);
             transaction.puts.push((name, encode(&learned)));
-            self.written_effects = learned;
+            self.written_interference = learned;
         }
     }
 
