--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a batch of the planner until its outcome is known.
+//! Commits a transaction of the planner, with retries until its outcome is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,21 +15,23 @@
 use crate::process::logging::log_event;
 use crate::process::planning::rows::applied_version;
 
-/// Pause before a write is repeated.
+/// Delay before a transaction is committed again.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What became of a write.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is stored under a version. Where the store itself said so, the owner's row was as expected
-    /// after this time, at which the call was sent_at.
+    /// The transaction was applied with this version. If the store confirmed it directly, the time
+    /// is when that call was sent: the ownership was still valid then. `None` if the response was
+    /// lost and the rows show that the transaction was applied.
     Stored(RowVersion, Option<Instant>),
-    /// A condition did not hold; the rows that the conditions named.
+    /// A condition did not hold. Contains the current rows that the conditions name.
     Refused(Vec<StoredRow>),
 }
 
-/// Repeats a write until it is known to be stored or impossible. Each row's condition makes a repeat, or
-/// a first try that is carried out late, harmless.
+/// Commits a transaction, retrying until it is known to be applied or refused. A retry, or an
+/// earlier attempt that the store executes late, does no harm: every transaction is conditional on
+/// the versions of its rows, so at most one attempt is applied.
 pub async fn commit_until_settled(
     store: Arc<dyn RowStore>,
     transaction: &RowTransaction,
--- a/src/process/planning/decision_log.rs
+++ b/src/process/planning/decision_log.rs
@@ -1,4 +1,4 @@
-//! Lines of the log for what the planner decides.
+//! Log lines for the planner's decisions.
 
 use log::Level;
 
@@ -8,7 +8,7 @@
 use crate::workflow::plan_decision::PlanDecision;
 use crate::workflow::planner::Planner;
 
-/// Logs one decision, with the epoch under which it was made.
+/// Logs one decision, with the epoch of the planner that made it.
 pub fn log_decision(epoch: PlannerEpoch, decision: &PlanDecision) {
     match decision {
         PlanDecision::Assigned { task, run, worker, age_ms, failures } => log_event(
@@ -121,12 +121,14 @@
     }
 }
 
-/// A run that its worker refused and has all the same may soon be there twice.
+/// A refused run that the worker reports as present nevertheless is logged as a warning: it may
+/// soon be executed twice.
 fn refusal_level(shown: bool) -> Level {
     if shown { Level::Warn } else { Level::Info }
 }
 
-/// Logs what waits and runs, and what was learned of images that disturb each other.
+/// Logs the numbers of waiting and running jobs and tasks, and the learned interference between
+/// images.
 pub fn log_load(epoch: PlannerEpoch, planner: &Planner) {
     let load = planner.load();
     log_event(
--- a/src/process/planning/job_http.rs
+++ b/src/process/planning/job_http.rs
@@ -1,4 +1,4 @@
-//! The product's own interface for jobs of steps, at the planner processes.
+//! HTTP interface for jobs that consist of steps, served by planner processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,55 +29,55 @@
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 
-/// Longest wait of a caller for an answer.
+/// Time within which a caller gets a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest submission in bytes: a job's row in the store has 64 KiB at most.
+/// Maximum size of a submission. The row of a job in the store is limited to 64 KiB.
 const MAX_BODY_BYTES: usize = 60_000;
-/// Longest name of a job in bytes.
+/// Maximum length of a job's name.
 const MAX_JOB_ID_BYTES: usize = 100;
-/// When a caller that was refused should come back, in seconds.
+/// Value of the `Retry-After` header for a submission that could not be executed.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// A submission.
+/// Body of a submission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRequest {
-    /// The caller's name for the job; a repeat gives the same job.
+    /// Name of the job, chosen by the caller. Submitting the same job again has no effect.
     pub id: JobId,
-    /// The queue that takes it.
+    /// Queue of the job.
     pub queue: QueueName,
-    /// What its tasks are told.
+    /// Payload that is passed to every task of the job.
     #[serde(default)]
     pub payload: String,
-    /// Its steps.
+    /// Steps of the job.
     pub steps: Vec<StepSpec>,
-    /// How often it runs; zero for once, now.
+    /// Number of occurrences of a recurring job; zero for a job that runs once, immediately.
     #[serde(default)]
     pub times: u32,
-    /// When the first occurrence is due, in milliseconds since the Unix epoch.
+    /// Due time of the first occurrence, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub first_due_ms: u64,
-    /// Time between two occurrences in milliseconds.
+    /// Time between two occurrences, in milliseconds.
     #[serde(default)]
     pub interval_ms: u64,
 }
 
-/// An answer.
+/// Body of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobResponse {
     /// State of the job.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub state: Option<String>,
-    /// Jobs of the queue of which no task has started.
+    /// Number of jobs of the queue of which no task has started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pending: Option<u64>,
-    /// Why there is no result.
+    /// Error message of a failed call.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
 type SharedGate = Arc<dyn JobGate>;
 
-/// The routes of the listener for jobs.
+/// Creates the router of the job interface.
 ///
 /// ```no_run
 /// # use std::sync::Arc;
@@ -107,7 +107,7 @@
         Err(text) => return error_response(StatusCode::UNPROCESSABLE_ENTITY, text),
     };
     if request.id.is_empty() || request.id.len() > MAX_JOB_ID_BYTES {
-        let text = format!("id: give 1 to {MAX_JOB_ID_BYTES} bytes");
+        let text = format!("id: must have 1 to {MAX_JOB_ID_BYTES} bytes");
         return error_response(StatusCode::BAD_REQUEST, text);
     }
     let Some(table) = gate.queues() else {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Decodes a submission. The error names all fields that are unknown, with their places.
+/// Decodes a submission. The error lists the paths of all unknown fields.
 fn decode_request(body: Value) -> Result<JobRequest, String> {
     let mut unknown = Vec::new();
     let request = serde_ignored::deserialize(body, |path| unknown.push(path.to_string()));
--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -1,4 +1,4 @@
-//! Takes callers' jobs: stores them, tells their states, cancels them.
+//! Implementation of [`JobGate`]: stores and cancels callers' jobs, and returns their states.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,10 +28,10 @@
 use crate::workflow::progress::spec_digest;
 use crate::workflow::spec::WorkflowSpec;
 
-/// Pause before a call whose answer was lost is repeated.
+/// Delay before a store call whose response was lost is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// The job desk of a planner process.
+/// The job service of a planner process. All processes offer it, whether or not they own planning.
 pub struct JobService {
     shared: Arc<PlannerShared>,
     planner: PlannerClient,
@@ -39,7 +39,7 @@
 }
 
 impl JobService {
-    /// Opens the desk.
+    /// Creates the service.
     pub fn open(shared: Arc<PlannerShared>) -> JobService {
         JobService {
             planner: PlannerClient::open(shared.clone()),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Stores a job; a lost answer is settled by repeating the call, whose condition allows it once.
+    /// Inserts the row of a job. After a lost response the transaction is retried; since it is
+    /// conditional on the row not existing, it is applied once at most.
     async fn insert_job(
         &self,
         job: &str,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Whether a call without a known outcome is worth another try: while the store is out of reach the
-    /// caller is told at once, and may ask again.
+    /// Whether to retry a call whose outcome is unknown. While the store is unreachable, the caller
+    /// gets the error at once and may call again.
     fn may_retry(&self, deadline: CallDeadline) -> bool {
         self.shared.is_store_reachable() && deadline.left() >= ANSWER_RESERVE + RETRY_DELAY
     }
@@ -95,7 +96,8 @@
         row.map_err(|error| JobRefusal::NotRun { reason: error.to_string() })
     }
 
-    /// Marks a job as cancelled. Says whether there is such a job.
+    /// Marks a job as cancelled, retrying after conflicts and lost responses. Returns whether the
+    /// job exists.
     async fn mark_cancelled(&self, job: &str, deadline: CallDeadline) -> Result<bool, JobRefusal> {
         let mut may_be_stored = false;
         loop {
@@ -121,6 +123,7 @@
         }
     }
 
+    /// Attempts once to mark a job as cancelled, given its row. Returns whether the job exists.
     async fn try_cancel(
         &self,
         row: Option<StoredRow>,
@@ -142,7 +145,7 @@
     }
 }
 
-/// The outcome of a submission, as a metric's label.
+/// Label of a submission's outcome in metrics.
 fn outcome_label(result: &Result<(), JobRefusal>) -> &'static str {
     match result {
         Ok(()) => "accepted",
@@ -152,7 +155,8 @@
     }
 }
 
-/// A name that is taken belongs to the same job, or the submission is refused.
+/// Accepts a submission whose name is taken if the stored job has the same specification, and
+/// refuses it otherwise.
 fn check_same_job(rows: &[StoredRow], record: &JobRecord) -> Result<(), JobRefusal> {
     let stored: Option<JobRecord> = rows.iter().find_map(decode);
     match stored {
--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -1,4 +1,7 @@
-//! The planner process: takes callers' jobs; one of these processes plans for all.
+//! The planner process.
+//!
+//! Several of these processes run at the same time. Each accepts jobs from callers and stores them;
+//! the one that holds the ownership of planning assigns the tasks of all jobs to workers.
 
 pub mod commit_writer;
 pub mod decision_log;
@@ -43,37 +46,37 @@
 use crate::process::stop_signal::StopSignal;
 use crate::process::stop_signal::StopSwitch;
 
-/// Time between the fall of readiness and the close of connections: two looks of the balancer, one
-/// a second, and some.
+/// Time between the first negative readiness response and the closing of caller connections. The
+/// load balancer polls readiness once a second; this covers two polls and their latency.
 const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2_300);
 
 /// The addresses on which a planner process listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannerAddresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For jobs by the product's own interface, if it is offered.
+    /// Listener of the job interface, if it is configured.
     pub jobs: Option<SocketAddr>,
-    /// For the balancer's question whether the process is ready.
+    /// Listener for the load balancer's readiness polls.
     pub ready: SocketAddr,
-    /// For other processes of the system.
+    /// Listener for other processes of the system.
     pub internal: SocketAddr,
 }
 
 /// A running planner process.
 #[derive(Debug)]
 pub struct PlannerProcess {
-    /// Where it listens.
+    /// Addresses of its listeners, with the port numbers that were assigned.
     pub addresses: PlannerAddresses,
     running: JoinHandle<()>,
 }
 
 impl PlannerProcess {
-    /// Listens on all addresses and starts.
+    /// Binds all listeners and starts the process's tasks.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`].
+    /// [`Error::Listen`] if an address cannot be bound.
     pub async fn bind(
         mut settings: PlannerSettings,
         store: Arc<dyn RowStore>,
@@ -110,7 +113,8 @@
             spawn_http_server(jobs, job_http::router(gate.clone()), limits, caller_stop.clone());
         }
         let server = spawn_http_server(callers, router, limits, caller_stop);
-        // It answers until the process ends, so that the balancer learns of the stop.
+        // The readiness listener runs until the process ends, so that the load balancer gets a
+        // negative response while the process drains.
         let (ready_switch, ready_stop) = StopSwitch::new();
         spawn_http_server(ready, caller_gate::ready_router(gate), limits, ready_stop);
         let elector = OwnershipElector::spawn(shared.clone());
@@ -121,7 +125,8 @@
             let drain = async {
                 tokio::time::sleep(READINESS_PROPAGATION_TIME).await;
                 caller_switch.stop();
-                // The server's task ends when its last connection has; a panic has been printed.
+                // The server's task ends with its last connection. The runtime prints a panic of a
+                // task, so the join error is dropped.
                 let _ = server.await;
                 let _ = elector.await;
             };
@@ -134,9 +139,9 @@
         Ok(PlannerProcess { addresses, running })
     }
 
-    /// Waits until the process has stopped.
+    /// Waits until the process has drained and stopped.
     pub async fn stopped(self) {
-        // A panic of the task has been printed by then.
+        // The runtime has printed a panic of the task, so the join error is dropped.
         let _ = self.running.await;
     }
 }
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -1,4 +1,4 @@
-//! The planner's connection to one node agent: asks for its state, hands over orders.
+//! The planner's link to one node agent: polls its state, grants leases and sends orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,46 +28,49 @@
 use crate::workflow::grant::grant_span;
 use crate::workflow::grant::surely_expired;
 
-/// Time for a connection to be made.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait of an agent for events: leases are extended and silence is noticed that often.
+/// Maximum time that an agent may wait for changes before it answers a sync call. It bounds the
+/// time between two lease extensions, and between two checks that the agent still answers.
 const SYNC_WAIT: Duration = Duration::from_millis(400);
-/// Time beyond the wait within which an agent must answer, also when its host is five times slower.
+/// Time that an agent has for a response beyond the requested wait, sufficient also if its host is
+/// five times slower than usual.
 const ANSWER_MARGIN: Duration = Duration::from_millis(900);
-/// Pause before a connection is made anew.
+/// Delay before a lost link is established again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// Orders on their way to one life of a runner.
+/// Orders that are sent to one runner instance in one call.
 #[derive(Clone, Debug)]
 pub struct OrderBatch {
-    /// The life.
+    /// The runner instance.
     pub instance: InstanceId,
-    /// Number of the orders.
+    /// Number of the batch, which increases from batch to batch.
     pub number: u64,
-    /// The orders.
+    /// Orders of the batch.
     pub orders: Vec<NodeOrder>,
 }
 
-/// What links tell the planner's loop.
+/// Event that a link sends to the planner's loop.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// An agent has reported.
+    /// An agent has reported its state.
     Report {
-        /// Its address.
+        /// Address of the agent.
         address: String,
-        /// What it said.
+        /// The report.
         report: Box<NodeReport>,
-        /// Whether it is the first report over its link that names a runner, or one before that.
+        /// Whether the link is new: true for all reports of a link up to and including the first
+        /// that names a runner.
         is_new_link: bool,
     },
-    /// An agent knows a later planner.
+    /// An agent refused a call because it has received one with this later stamp.
     Replaced(LinkStamp),
 }
 
-/// A running link; it ends when it is dropped.
+/// Handle of a link, whose task is aborted when the handle is dropped.
 #[derive(Debug)]
 pub struct NodeLink {
-    /// Takes orders.
+    /// Queue of the orders to send.
     pub orders: mpsc::UnboundedSender<OrderBatch>,
     running: JoinHandle<()>,
 }
@@ -79,7 +82,7 @@
 }
 
 impl NodeLink {
-    /// Starts a link to the agent at an address.
+    /// Starts a link to the agent at `address`.
     pub fn spawn(
         shared: Arc<PlannerShared>,
         epoch: PlannerEpoch,
@@ -100,13 +103,13 @@
 }
 
 struct LinkTask {
-    /// Number of the last orders that were sent over the present link.
+    /// Number of the last batch that was sent over the current connection, or 0.
     last_sent: u64,
     shared: Arc<PlannerShared>,
     address: String,
     events: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
-    /// Tells that an order of the present link was not answered.
+    /// Notified when a batch of orders sent over the current connection got no response.
     order_unanswered: Arc<Notify>,
 }
 
@@ -120,14 +123,15 @@
             let opened = clock::now();
             let reason = match self.connect().await {
                 Some(client) => {
-                    // What was ordered over earlier links is sent anew where it is still wanted.
+                    // Drops orders queued for the earlier connection. The planner orders again what
+                    // it still needs.
                     while batches.try_recv().is_ok() {}
                     self.sync_until_lost(&client, &mut batches).await
                 }
                 None => "connect".to_string(),
             };
             let is_up = clock::elapsed(opened) > CONNECT_TIMEOUT;
-            // A link that cannot be made again and again is told once.
+            // Logs repeated connection failures only once.
             if was_up {
                 log_event(
                     Level::Warn,
@@ -147,7 +151,7 @@
         Some(NodeRpcClient::spawn(stream, Arc::default()))
     }
 
-    /// Asks again and again; gives the reason when the link has broken.
+    /// Polls the agent and sends orders until the connection fails. Returns the reason.
     async fn sync_until_lost(
         &mut self,
         client: &NodeRpcClient,
@@ -167,7 +171,7 @@
                 Err(reason) => return reason,
             };
             call = self.next_sync_call(&report);
-            // An agent that has just started may not have heard of its runner yet.
+            // The runner may not have registered yet with an agent that has just started.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
             let event = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Sends one call, and orders while it waits.
+    /// Sends one sync call, and orders until its response arrives.
     async fn sync(
         &mut self,
         client: &NodeRpcClient,
@@ -195,17 +199,17 @@
                 answer = &mut answer => return match answer {
                     Ok(Ok(report)) => Ok(report),
                     Ok(Err(stale)) => {
-                        // A planner that has ended needs no events.
+                        // The receiver is closed if planning has ended.
                         let _ = self.events.send(LinkEvent::Replaced(stale.newest));
                         Err(stale.to_string())
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
                 },
                 Some(batch) = batches.recv() => self.send_orders(client, batch),
-                // The agent counts orders in their sequence: one that is missing holds up all later
-                // ones, until a new link begins the sequence anew.
-                () = self.order_unanswered.notified() => return Err("an order was not answered".to_string()),
-                () = &mut limit => return Err("no answer in time".to_string()),
+                // The agent acknowledges batches in sequence, so a missing one holds up the
+                // acknowledgement of all later ones. A new link starts a new sequence.
+                () = self.order_unanswered.notified() => return Err("orders got no response".to_string()),
+                () = &mut limit => return Err("no response before the timeout".to_string()),
             }
         }
     }
@@ -220,14 +224,15 @@
         };
         let (client, order_unanswered) = (client.clone(), self.order_unanswered.clone());
         tokio::spawn(async move {
-            // That the agent obeys a later link is told to the calls that ask for its state as well.
+            // A refusal because of a later link needs no handling here: the sync call gets it, too.
             if client.order(call_within(ANSWER_MARGIN), call).await.is_err() {
                 order_unanswered.notify_one();
             }
         });
     }
 
-    /// The next call, with an extension of leases that counts from the report's own time.
+    /// Builds the next sync call, with a lease extension that starts at the agent's time in
+    /// `report`.
     fn next_sync_call(&self, report: &NodeReport) -> SyncCall {
         let received = clock::now();
         let instance = report.runner.as_ref().map(|runner| runner.instance.clone());
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -1,8 +1,8 @@
-//! Ownership of planning: one process at a time, by a row of the store.
+//! Ownership of planning: one process at a time, recorded in a row of the store.
 //!
-//! Every write of the planner is bound to the version of the owner's row, and every order carries its
-//! epoch; so two processes that both believe to own planning do no harm. The pulse only tells when to
-//! take over.
+//! Every write of the planner is conditional on the version of the owner's row, and every order
+//! carries the owner's epoch. Two processes that both consider themselves the owner therefore do no
+//! harm. The heartbeat is only used to decide when to take over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,35 +28,36 @@
 use crate::process::planning::rows::owner_row;
 use crate::process::planning::shared::PlannerShared;
 
-/// Silence of the pulse, which comes every 0.4 s, after which another process takes over: longer than
-/// one pulse takes at a store that is sixty times slower than usual.
+/// Time without a heartbeat after which another process takes over. Heartbeats are written every
+/// 0.4 s; the timeout also covers one heartbeat at a store that is sixty times slower than usual.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_400);
-/// Added for a process without any share of a core, in proportion less for others, so that the one with
-/// the most processor time comes first.
+/// Additional delay of a process with no share of a core, proportionally less for a larger share,
+/// so that the process with the most processor time takes over first.
 const SHARE_STAGGER: Duration = Duration::from_millis(400);
-/// The same after a planner has given the ownership back: hosts with half a core come 60 ms before those with
-/// an eighth, more than the news and the write take.
+/// Additional delay, scaled like [`SHARE_STAGGER`], after the owner has released the ownership. A
+/// host with half a core takes over 60 ms before one with an eighth, which is longer than the
+/// notification and the write take.
 const RELEASE_STAGGER: Duration = Duration::from_millis(150);
-/// Longest wait for news in one call.
+/// Maximum time that one feed call waits for changes.
 const FEED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// An ownership that the store has confirmed.
+/// An ownership of planning that the store has confirmed.
 #[derive(Clone, Debug)]
 pub struct ConfirmedOwnership {
-    /// The row.
+    /// The owner's row.
     pub owner: OwnerRow,
-    /// Its version, which binds the planner's writes.
+    /// Version of the row, on which the planner's writes are conditional.
     pub version: RowVersion,
-    /// When the call was sent that showed it.
+    /// When the call that took the ownership was sent.
     pub sent: Instant,
-    /// When it was answered.
+    /// When that call was answered.
     pub answered: Instant,
-    /// Whether there was a planner before.
+    /// Whether there was an earlier owner, whose leases may still be valid.
     pub has_predecessor: bool,
 }
 
-/// How long after the last change of the ownership or its pulse a process at an address, with a share of a
-/// core, may take it.
+/// Time after the last change of the owner's row or heartbeat at which a process may take over
+/// planning. `own_address` is the address of that process, `share` its share of a core.
 ///
 /// ```
 /// use std::time::Duration;
@@ -66,7 +67,8 @@
 /// assert_eq!(takeover_delay(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
 /// ```
 pub fn takeover_delay(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
-    // Of processes at one address only the newest lives; so a row that names this one is of its past.
+    // At most one process runs at an address, so a row with this address was written by an earlier
+    // run that has ended.
     let Some(owner) = owner.filter(|owner| owner.address != own_address) else {
         return Duration::ZERO;
     };
@@ -78,7 +80,8 @@
     }
 }
 
-/// Watches the ownership, and takes it when nobody has it.
+/// Watches the owner's row and heartbeat, and takes over planning when the owner has released it or
+/// is silent.
 pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
@@ -88,7 +91,7 @@
 }
 
 impl OwnershipElector {
-    /// Starts watching. The task ends when the process stops.
+    /// Starts the elector's task, which ends when the process stops.
     pub fn spawn(shared: Arc<PlannerShared>) -> tokio::task::JoinHandle<()> {
         let elector = OwnershipElector {
             shared,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Reads the rows, or waits for changes of them.
+    /// Reads the rows of the ownership the first time, and waits for changes of them later.
     async fn watch(&mut self) -> Result<(), RowError> {
         let store = self.shared.store.clone();
         let (rows, version) = match self.feed_version {
@@ -156,7 +159,8 @@
     }
 
     fn on_failure(&mut self, error: &RowError) {
-        // While the store is away nobody can renew; the pulse counts anew from its return.
+        // No owner can write a heartbeat while the store is unavailable, so the takeover timeout
+        // starts again.
         self.changed_at = clock::now();
         if *error == RowError::HistoryGone {
             self.feed_version = None;
@@ -210,7 +214,7 @@
                 .await;
             }
             Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.apply_row(row)),
-            // If it was written all the same, the next look at the row shows it.
+            // If the row was written nevertheless, the next read shows it.
             Err(error) => {
                 self.on_failure(&error);
                 self.shared.pace_retries(&Err::<(), RowError>(error)).await;
--- a/src/process/planning/peer_watch.rs
+++ b/src/process/planning/peer_watch.rs
@@ -1,4 +1,4 @@
-//! Makes this process known to the other planner processes, and follows which there are.
+//! Registers this process with the other planner processes, and watches their registrations.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::process::planning::shared::PlannerShared;
 use crate::process::planning::table_feed::TableFeed;
 
-/// Starts following the other processes.
+/// Starts the tasks that register this process and watch the other ones.
 pub fn spawn_peer_watch(shared: Arc<PlannerShared>) {
     let (host, address) = (&shared.settings.id, &shared.settings.internal_listen);
     let registered = register(shared.store.clone(), PEER_TABLE, host.clone(), address.to_string());
--- a/src/process/planning/planner_client.rs
+++ b/src/process/planning/planner_client.rs
@@ -1,4 +1,4 @@
-//! Asks the planner for states of jobs, in this process or another.
+//! Job states from the planner, and the calls that planner processes serve to each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,22 +25,23 @@
 use crate::process::planning::shared::PlannerShared;
 use crate::process::rpc_server::spawn_rpc_server;
 
-/// Time for the planner's answer; after it the store is asked.
+/// Timeout of a status call to the owner; after it the state is read from the store.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Client of whoever plans.
+/// Client of the current owner of planning, which may be this process.
 pub struct PlannerClient {
     shared: Arc<PlannerShared>,
     connections: ConnectionCache<PlannerRpcClient>,
 }
 
 impl PlannerClient {
-    /// Opens a client.
+    /// Creates a client; connections are opened on demand.
     pub fn open(shared: Arc<PlannerShared>) -> PlannerClient {
         PlannerClient { shared, connections: ConnectionCache::default() }
     }
 
-    /// The state of a job, as far as the planner knows and answers.
+    /// Returns the state of a job, or [`StatusAnswer::Unknown`] if the owner does not know the job
+    /// or does not respond.
     pub async fn status(&self, job: &str) -> StatusAnswer {
         if let Some(owned) = self.shared.owned().as_ref() {
             return status_answer(owned.planner.status(job));
@@ -55,7 +56,7 @@
         match client.status(call_within(STATUS_TIMEOUT), job.to_string()).await {
             Ok(answer) => answer,
             Err(_) => {
-                // The connection may have gone silent; the store answers instead.
+                // The connection may be half-open; the next call opens a new one.
                 self.connections.drop_client(&owner.address);
                 StatusAnswer::Unknown
             }
@@ -73,7 +74,7 @@
 }
 
 impl PlannerServer {
-    /// Whether calls of processes that do not reach the store are passed on.
+    /// Whether this process relays store calls of processes that the store does not answer.
     fn may_relay(&self) -> bool {
         self.shared.store.health().may_relay(clock::now())
     }
@@ -105,10 +106,12 @@
 }
 
 fn store_unreachable() -> RowError {
-    RowError::Refused { reason: "the store does not answer there either".to_string() }
+    RowError::Refused {
+        reason: "the store does not answer the relaying process either".to_string(),
+    }
 }
 
-/// Serves other planner processes.
+/// Starts the RPC server for other planner processes.
 pub fn spawn_planner_rpc(listener: TcpListener, shared: Arc<PlannerShared>) {
     let server = PlannerServer { shared };
     spawn_rpc_server(listener, move |stream| {
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -1,4 +1,7 @@
-//! The planner at work: takes events in, plans, stores, sends orders. Ends when the ownership is lost.
+//! The planner's loop, which runs while this process owns planning.
+//!
+//! It feeds reports, jobs and time to the [`Planner`], stores its decisions, and sends its orders
+//! to node agents. It ends when the ownership is lost or the process stops.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,25 +46,28 @@
 use crate::workflow::learned_effects::LearnedEffects;
 use crate::workflow::planner::Planner;
 
-/// Time between two looks at what is due by the clock.
+/// Time between two ticks, at which the planner handles what depends on the time.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
-/// Rest between two searches for places, as a multiple of the time that one takes: with thousands of tasks
-/// that wait, reports come faster than searches end, and pulses and orders have to go out in between.
+/// Minimum pause between two placement searches, as a multiple of the duration of the last one.
+/// With thousands of waiting tasks, reports arrive faster than searches end; without the pause,
+/// heartbeats and orders would be delayed.
 const PLAN_REST_FACTOR: u32 = 3;
-/// Pause before rows that could not be read at a takeover are read again.
+/// Delay before a failed read of a table at a takeover is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Pause before the advice service is asked again after it did not answer.
+/// Delay before the planner may query the advice service again after a failed query.
 const ADVICE_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Disputed lives that are remembered, so that each is logged once; more at a time would be a writer gone wild.
+/// Maximum number of disputed instances that are remembered in order to log each once. More can
+/// only come from a faulty sender; the set is then cleared.
 const MAX_DISPUTED_INSTANCES: usize = 256;
 
-/// The planner's loop and what it holds.
+/// The planner's loop and its state.
 pub struct PlannerLoop {
     pub(super) shared: Arc<PlannerShared>,
     pub(super) ownership: ConfirmedOwnership,
     links: BTreeMap<String, NodeLink>,
     agent_addresses: BTreeMap<InstanceId, String>,
-    /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
+    /// Instances that an agent reported as ended although they run at another agent, each with the
+    /// reporting agent.
     disputed_instances: BTreeSet<(InstanceId, String)>,
     events: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
@@ -69,17 +75,17 @@
     pub(super) interference_due: Instant,
     pub(super) written_interference: LearnedEffects,
     pub(super) load_log_due: Instant,
-    /// Before this the planner does not look for places again.
+    /// Earliest time of the next placement search.
     next_plan_at: Instant,
-    /// Whether something has happened since it did.
+    /// Whether anything has changed since the last placement search.
     has_changes: bool,
 }
 
-/// How a step of the loop ended.
+/// Result of a step of the loop. The error is the reason for which the ownership ends.
 pub(super) type StepResult = Result<(), String>;
 
 impl PlannerLoop {
-    /// Plans until the ownership is lost or the process stops; gives the reason.
+    /// Plans until the ownership is lost or the process stops. Returns the reason.
     pub async fn run(shared: Arc<PlannerShared>, ownership: ConfirmedOwnership) -> String {
         let (events, received) = mpsc::unbounded_channel();
         let mut planning = PlannerLoop {
@@ -143,7 +149,8 @@
         Ok(())
     }
 
-    /// Reads all jobs and their progress. Gives the version from which on changes of jobs are new.
+    /// Loads all jobs, their progress and the learned interference. Returns the version after which
+    /// changes of jobs have to be read from the feed.
     async fn load(&mut self) -> Result<RowVersion, String> {
         let answered = self.ownership.answered;
         let expired =
@@ -177,7 +184,8 @@
         Ok(version)
     }
 
-    /// Tells the operator of jobs' rows where this layout does not look for them: the setting was changed while there were jobs.
+    /// Logs an error if there are job rows in the default partition although the layout uses
+    /// others: the setting was changed while there were jobs, and these are not planned.
     async fn warn_about_other_layout(&self, layout: JobLayout) -> StepResult {
         if layout == JobLayout::default() {
             return Ok(());
@@ -208,7 +216,8 @@
         }
     }
 
-    /// Lets the planner decide at the present time.
+    /// Sets the planner's time to the current one and calls `act` with it. Returns `None` if this
+    /// process is not the owner.
     pub(super) fn with_planner<T>(&self, act: impl FnOnce(&mut Planner) -> T) -> Option<T> {
         let (now, wall_ms) = (clock::now(), self.shared.clock.wall_millis());
         let mut owned = self.shared.owned();
@@ -252,15 +261,17 @@
                 Ok(())
             }
             LinkEvent::Replaced(newest) if newest.epoch > self.ownership.owner.epoch => {
-                Err(format!("an agent knows epoch {}", newest.epoch))
+                Err(format!("an agent has received calls of epoch {}", newest.epoch))
             }
-            // An own link that was replaced by a newer one of its own.
+            // A newer link of this planner to the same agent has replaced the one that reports
+            // this.
             LinkEvent::Replaced(_) => Ok(()),
         }
     }
 
-    /// Whether an agent may say that a life is over: not when the life is known to be beside another agent. A
-    /// heartbeat of another writer, or one that went to the wrong host, names such a life.
+    /// Whether an agent may report that a runner instance has ended: not if the instance is known
+    /// to run at another agent. An agent gets the name of such an instance from a heartbeat that
+    /// another program sent, or that was sent to the wrong host.
     fn may_report_ended(&mut self, address: &str, life: &InstanceId) -> bool {
         let known = self.agent_addresses.get(life);
         if known.is_none_or(|known| known == address) {
@@ -282,7 +293,8 @@
         self.with_planner(Planner::on_tick);
     }
 
-    /// Plans, starts the next write, and sends what may be sent.
+    /// Plans unless the pause after the last search is not over, starts the next write, and sends
+    /// orders and advice queries.
     fn plan(&mut self) {
         self.has_changes = true;
         let started = clock::now();
@@ -303,7 +315,8 @@
         }
     }
 
-    /// Asks the advice service what the planner wants to know; the answer wakes the loop.
+    /// Sends the planner's queries to the advice service. Each response is passed to the planner
+    /// and wakes the loop.
     fn request_advice(&self) {
         let questions = self.with_planner(Planner::take_questions).unwrap_or_default();
         for question in questions {
@@ -341,7 +354,7 @@
             let link =
                 self.agent_addresses.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
-                // A link that has ended is replaced, and its orders are sent anew.
+                // If the link has ended, a new one replaces it and the planner orders again.
                 let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -1,4 +1,4 @@
-//! What the planner's loop writes to the store, one transaction at a time.
+//! Writes of the planner's loop to the store, one transaction at a time.
 
 use std::time::Duration;
 
@@ -32,28 +32,32 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::planner_batch::PlanBatch;
 
-/// Time between two pulses.
+/// Time between two heartbeats.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
-/// Time between two writes of what was learned of images: pairs change over tens of seconds.
+/// Time between two writes of the learned interference, which changes over tens of seconds.
 pub(super) const INTERFERENCE_PERIOD: Duration = Duration::from_secs(4);
-/// Time between two lines of the log that tell what waits and runs.
+/// Time between two log lines with the planner's load.
 const LOAD_LOG_PERIOD: Duration = Duration::from_secs(2);
-/// Time for giving the ownership back at a graceful stop.
+/// Timeout of releasing the ownership at a graceful stop.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Ended jobs' rows that are removed at once.
+/// Maximum number of rows of ended jobs that one transaction removes.
 const MAX_REMOVED_JOBS: usize = 40;
 
-/// What a write was for.
+/// Purpose of a write.
 pub(super) enum WritePurpose {
+    /// Progress and ends of jobs.
     Batch(PlanBatch),
+    /// The owner's heartbeat alone.
     Heartbeat,
+    /// Removal of the rows of these jobs, whose retention has ended.
     RemoveExpired(Vec<JobId>),
 }
 
-/// A write that is on its way.
+/// A write in flight.
 pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitOutcome)>;
 
 impl PlannerLoop {
+    /// Handles the end of the write in flight. Fails if the ownership is lost.
     pub(super) fn on_write_result(
         &mut self,
         result: (WritePurpose, RowTransaction, CommitOutcome),
@@ -84,6 +88,8 @@
         });
     }
 
+    /// Handles a conflict. Only job rows may have changed, through a cancellation by a caller; any
+    /// other changed row ends planning.
     pub(super) fn on_refused(
         &mut self,
         purpose: WritePurpose,
@@ -95,16 +101,20 @@
             let found =
                 current(name).filter(|row| row.value.is_some()).map_or(0, |row| row.version);
             if found != *version && name.table != JOB_TABLE {
-                // Another planner has written, or a write of ours was taken for lost; both are
-                // mended by taking over anew from what is stored.
-                return Err(format!("{} {} has version {found}", name.table, name.key));
+                // Another owner has written, or a write of this one was applied although it was
+                // considered lost. In both cases planning ends here, and the next takeover reloads
+                // what is stored.
+                return Err(format!(
+                    "row {} {} was changed (version {found})",
+                    name.table, name.key
+                ));
             }
         }
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
             WritePurpose::Heartbeat => {}
-            // A row that was to be forgotten has changed; it is tried again with its new version.
+            // The row of an expired job has changed; its removal is retried with the new version.
             WritePurpose::RemoveExpired(_) => newest
                 .into_iter()
                 .for_each(|(job, version, record)| planner.on_record(&job, version, record)),
@@ -112,13 +122,16 @@
         Ok(())
     }
 
+    /// Starts the next write, if there is one: a batch of the planner, else what is due at the
+    /// heartbeat.
     pub(super) fn next_write(&mut self) -> Option<WriteTask> {
         let is_heartbeat_due = clock::now() >= self.heartbeat_due;
         if let Some(batch) = self.with_planner(Planner::take_batch).flatten() {
             let mut transaction =
                 batch_transaction(&batch, self.ownership.version, self.shared.settings.layout);
             if is_heartbeat_due {
-                // Batches may follow each other without a pause; others see only the pulse.
+                // Batches may follow each other without a pause, and other processes watch only the
+                // heartbeat.
                 self.add_heartbeat(&mut transaction);
             }
             return Some(self.spawn_write(WritePurpose::Batch(batch), transaction));
@@ -137,7 +150,8 @@
         Some(self.spawn_write(WritePurpose::Heartbeat, transaction))
     }
 
-    /// Adds the pulse, and what goes with it.
+    /// Adds the heartbeat, and the learned interference when it is due. Logs the load when that is
+    /// due.
     fn add_heartbeat(&mut self, transaction: &mut RowTransaction) {
         let now = clock::now();
         self.heartbeat_due = now + HEARTBEAT_PERIOD;
@@ -157,7 +171,7 @@
         }
     }
 
-    /// Adds what was learned of images, if that is something new.
+    /// Adds the learned interference, if it has changed since the last write.
     fn add_interference(&mut self, transaction: &mut RowTransaction) {
         let learned = self.with_planner(|planner| planner.learned()).unwrap_or_default();
         if learned != self.written_interference {
@@ -167,6 +181,7 @@
         }
     }
 
+    /// Starts the removal of the rows of expired jobs, together with a heartbeat.
     pub(super) fn write_removal(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
         expired.truncate(MAX_REMOVED_JOBS);
         let mut transaction = self.owner_transaction();
@@ -180,7 +195,7 @@
         self.spawn_write(WritePurpose::RemoveExpired(jobs), transaction)
     }
 
-    /// A transaction that only the owner's own epoch can apply.
+    /// Creates an empty transaction that is applied only while this process is still the owner.
     pub(super) fn owner_transaction(&self) -> RowTransaction {
         RowTransaction {
             expected: vec![(owner_row(), self.ownership.version)],
@@ -188,6 +203,7 @@
         }
     }
 
+    /// Starts a task that commits `transaction`.
     pub(super) fn spawn_write(
         &self,
         purpose: WritePurpose,
@@ -200,7 +216,7 @@
         })
     }
 
-    /// Gives the ownership back, so that another process takes over at once.
+    /// Releases the ownership, so that another process takes over without the takeover timeout.
     pub(super) async fn release(&mut self) {
         let released = OwnerRow { released: true, ..self.ownership.owner.clone() };
         let mut transaction = self.owner_transaction();
@@ -208,7 +224,7 @@
         let store = self.shared.store.clone();
         let release = async {
             if let Some(write) = self.write.take() {
-                // Its outcome is found by the next owner.
+                // The next owner reads the outcome of this write from the store.
                 let _ = write.await;
             }
             commit_until_settled(store, &transaction).await
@@ -218,7 +234,7 @@
     }
 }
 
-/// The end of the write on its way; never, when there is none.
+/// Waits for the write in flight. Never returns if there is none.
 pub(super) async fn write_result(
     write: &mut Option<WriteTask>,
 ) -> (WritePurpose, RowTransaction, CommitOutcome) {
--- a/src/process/planning/queue_watch.rs
+++ b/src/process/planning/queue_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the operator's configuration; the version in force only rises.
+//! Watches the operator's queue configuration. The version in effect never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
 
-/// Longest wait for news in one call, so that a connection that went silent is noticed well within the
-/// two seconds in which a configuration has to be in force.
+/// Maximum time that one feed call waits for changes. It is short enough to detect a half-open
+/// connection well within the two seconds in which a new configuration has to take effect.
 const FEED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Starts following the configuration.
+/// Starts the task that watches the configuration.
 pub fn spawn_queue_watch(shared: Arc<PlannerShared>) {
     tokio::spawn(async move {
         let mut after = None;
@@ -52,7 +52,7 @@
     });
 }
 
-/// Reads the configuration, or waits for the next one.
+/// Reads the configuration the first time, and waits for changes of it later.
 async fn follow(shared: &PlannerShared, after: Option<RowVersion>) -> Result<RowVersion, RowError> {
     let (rows, version) = match after {
         Some(after) => {
@@ -66,12 +66,13 @@
     };
     let name = RowName::new(OPERATOR_TABLE, "", CONFIGURATION_KEY);
     if let Some(row) = rows.iter().rev().find(|row| row.name == name) {
-        adopt(shared, row);
+        apply_row(shared, row);
     }
     Ok(version)
 }
 
-fn adopt(shared: &PlannerShared, row: &StoredRow) {
+/// Puts the configuration of a row into effect if its version is newer.
+fn apply_row(shared: &PlannerShared, row: &StoredRow) {
     let Some(value) = &row.value else {
         return;
     };
--- a/src/process/planning/registration.rs
+++ b/src/process/planning/registration.rs
@@ -1,4 +1,4 @@
-//! Writes where a process is reached, so that others find it in the store.
+//! Registration of a process's address in the store, where other processes find it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,11 @@
 use crate::process::planning::rows::NodeRow;
 use crate::process::planning::rows::encode;
 
-/// Pause before the address is written again after the store did not take it.
+/// Delay before a failed registration is retried.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Writes a process's address into a table until the store has it. The row is the same at each start.
+/// Writes the address of a process into `table`, retrying until the store has applied the write.
+/// Every start of the process writes the same row.
 pub async fn register(store: Arc<dyn RowStore>, table: &str, host: String, address: String) {
     let name = RowName::new(table, HOST_PARTITION, &address);
     let row = NodeRow { id: host, address: address.clone() };
--- a/src/process/planning/rows.rs
+++ b/src/process/planning/rows.rs
@@ -1,4 +1,4 @@
-//! The rows that planners and their entries keep in the store, and their encoding.
+//! Rows that planner processes and node agents keep in the store, and their JSON encoding.
 
 use std::collections::BTreeMap;
 
@@ -21,75 +21,80 @@
 use crate::workflow::planner_batch::PlanWrite;
 use crate::workflow::progress::JobRecord;
 
-/// Partition of what the planner writes: a transaction binds the owner's row with those of jobs' progress.
+/// Partition of the rows that the planner writes. The owner's row and the progress rows share it,
+/// so that one transaction can write progress on condition that the ownership has not changed.
 pub const PARTITION: &str = "main";
-/// Partition of what hosts write about themselves, so that planning does not wait behind hundreds of hosts that start at once.
+/// Partition of the rows that hosts write about themselves. It is separate from [`PARTITION`], so
+/// that the planner's writes do not queue behind those of hundreds of hosts that start at the same
+/// time.
 pub const HOST_PARTITION: &str = "hosts";
-/// Table of jobs: what was submitted, and how it ended.
+/// Table of jobs: the submitted specification, or how the job ended.
 pub const JOB_TABLE: &str = "jobs";
-/// Table of jobs' progress, which the planner alone writes.
+/// Table of the progress of jobs, which only the planner writes.
 pub const PROGRESS_TABLE: &str = "progress";
-/// Table of the planner's ownership and its pulse.
+/// Table of the owner's row and its heartbeat.
 pub const OWNER_TABLE: &str = "ownership";
-/// Key of the ownership.
+/// Key of the owner's row.
 pub const OWNER_KEY: &str = "planner";
-/// Key of the pulse.
+/// Key of the owner's heartbeat.
 pub const PULSE_KEY: &str = "pulse";
-/// Table of what planners have learned.
+/// Table of the interference that planners have learned.
 pub const LEARNED_TABLE: &str = "learned";
-/// Key of what was learned of images.
+/// Key of the learned interference between images.
 pub const IMAGES_KEY: &str = "images";
-/// Table of the node agents' addresses.
+/// Table of the addresses of node agents.
 pub const NODE_TABLE: &str = "nodes";
-/// Table of the lives that the runners of the node agents' hosts had.
+/// Table of the recent instances of each host's runner.
 pub const LIFE_TABLE: &str = "lives";
-/// Table of the planner processes' addresses.
+/// Table of the addresses of planner processes.
 pub const PEER_TABLE: &str = "peers";
 
-/// Who plans.
+/// The owner of planning.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRow {
-    /// Epoch of the ownership.
+    /// Epoch of the ownership; each takeover increases it by one.
     pub epoch: PlannerEpoch,
-    /// The run of the process that plans.
+    /// Random identifier of the owner's process run.
     pub holder: String,
-    /// Its address for other processes of the system.
+    /// The owner's address for other processes of the system.
     pub address: String,
-    /// Whether it has given the ownership back.
+    /// Whether the owner has released the ownership in a graceful stop.
     pub released: bool,
 }
 
-/// What the planner shows about once a second, which also shows that it lives.
+/// The owner's heartbeat, which it writes about twice a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatRow {
-    /// Epoch of the planner.
+    /// Epoch of the owner that wrote it.
     pub epoch: PlannerEpoch,
-    /// Jobs of each queue of which no task has started.
+    /// Number of jobs of each queue of which no task has started.
     pub pending: BTreeMap<QueueName, u64>,
 }
 
-/// Where a node agent is reached.
+/// The address of a node agent or of a planner process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Name of its host.
+    /// Name of the host.
     pub id: String,
-    /// Its address for the planner.
+    /// Address for other processes of the system.
     pub address: String,
 }
 
-/// Which lives the runner on a host had.
+/// Recent instances of the runner on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerInstancesRow {
-    /// The lives, the newest last.
+    /// The instances, the newest last.
     #[serde(rename = "lives")]
     pub instances: Vec<InstanceId>,
 }
 
-/// In how many partitions the jobs' rows are. The store carries out the transactions of one partition one after another, so that
-/// submissions to a single one wait for each other and for the planner's writes.
+/// Distribution of the job rows over partitions. The store serializes the transactions of a
+/// partition, so that with a single one submissions queue behind each other and behind the
+/// planner's writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobLayout {
-    /// Number of partitions; with one, the rows are beside what the planner writes.
+    /// Number of partitions. With one, the job rows are in [`PARTITION`], beside the planner's
+    /// rows.
     pub partitions: u32,
 }
 
@@ -100,7 +105,7 @@
 }
 
 impl JobLayout {
-    /// The row of a job.
+    /// Name of the row of a job, whose partition is chosen by a hash of the job's name.
     ///
     /// ```
     /// use greengagearch::process::planning::rows::JobLayout;
@@ -116,7 +121,7 @@
         RowName::new(JOB_TABLE, &partition_name(number), job)
     }
 
-    /// All partitions that have rows of jobs.
+    /// Names of all partitions that hold job rows.
     pub fn partition_names(self) -> Vec<String> {
         if self.partitions <= 1 {
             return vec![PARTITION.to_string()];
@@ -129,18 +134,19 @@
     format!("jobs-{number}")
 }
 
-/// The row of the ownership.
+/// Name of the owner's row.
 pub fn owner_row() -> RowName {
     RowName::new(OWNER_TABLE, PARTITION, OWNER_KEY)
 }
 
-/// Encodes a row's value.
+/// Encodes the value of a row as JSON.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // The rows' types have text or numbers as map keys only, so that they always serialize.
+    // Cannot fail: all map keys of the row types are strings or numbers.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Decodes a row's value. A removed row, and one that cannot be read, which is logged, give nothing.
+/// Decodes the value of a row. Returns `None` for a removed row and, with an error in the log, for
+/// a malformed one.
 pub fn decode<T: DeserializeOwned>(row: &StoredRow) -> Option<T> {
     let value = row.value.as_ref()?;
     match serde_json::from_slice(value) {
@@ -156,7 +162,8 @@
     }
 }
 
-/// The transaction that stores a batch under an ownership.
+/// Builds the transaction that stores a batch on condition that the owner's row still has the
+/// version `owner_version`.
 pub fn batch_transaction(
     batch: &PlanBatch,
     owner_version: RowVersion,
@@ -184,9 +191,12 @@
     transaction
 }
 
-/// Whether the rows of a transaction's conditions are as it would have made them, which tells that it was applied
-/// although its answer was lost. Gives the version that it had. What it writes without a condition is not among
-/// the rows that a conflict shows.
+/// Determines from the rows of a conflict whether a transaction was applied although its response
+/// was lost. This is so if all rows that its conditions name are as the transaction leaves them.
+/// Returns the version under which it was applied, or 0 if it only removes rows.
+///
+/// Rows that it writes without a condition, such as the heartbeat, are not considered: a conflict
+/// returns only the rows that conditions name.
 pub fn applied_version(transaction: &RowTransaction, rows: &[StoredRow]) -> Option<RowVersion> {
     let mut applied = None;
     for (name, version) in &transaction.expected {
@@ -208,7 +218,7 @@
     applied
 }
 
-/// The records of jobs among rows.
+/// Decodes the job records among `rows`, each with the job's name and the row's version.
 pub fn job_records(rows: &[StoredRow]) -> Vec<(JobId, RowVersion, JobRecord)> {
     let jobs = rows.iter().filter(|row| row.name.table == JOB_TABLE);
     jobs.filter_map(|row| Some((row.name.key.clone(), row.version, decode(row)?))).collect()
--- a/src/process/planning/settings.rs
+++ b/src/process/planning/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of a planner process and of a node agent, read from INI text and checked as a whole.
+//! Settings of a planner process and of a node agent.
+//!
+//! They are parsed from INI text; all findings are reported together.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,48 +10,51 @@
 use crate::process::ini_reader::IniReader;
 use crate::process::planning::rows::JobLayout;
 
-/// Time between the request to stop and the end by force, without a setting.
+/// Default time between the stop signal and a forced termination (`stop-grace`).
 const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(6);
-/// Kept of that time, so that a process that drains until the last moment still ends by itself.
+/// Subtracted from the stop grace, so that a process whose drain takes all of its time still exits
+/// before it is killed.
 const STOP_RESERVE: Duration = Duration::from_millis(700);
-/// Most partitions of the jobs' rows: each is read at a takeover, and one transaction of the planner names up to 100 rows.
+/// Maximum number of partitions of the job table: a takeover reads each of them, and one
+/// transaction of the planner names up to 100 rows.
 const MAX_JOB_PARTITIONS: u32 = 64;
-/// How long the state of an ended job is kept, without a setting.
+/// Default time for which the state of an ended job can be queried (`kept-for`).
 const DEFAULT_JOB_RETENTION: Duration = Duration::from_secs(120);
 
 /// Settings of a planner process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSettings {
-    /// Name of the process's host.
+    /// Name of the host that the process runs on.
     pub id: String,
     /// Failure domain of the host.
     pub domain: DomainName,
-    /// Address for callers.
+    /// Address of the listener for callers.
     pub caller_listen: SocketAddr,
-    /// Address for jobs by the product's own interface; nothing to offer none.
+    /// Address of the job interface; `None` disables it.
     pub job_listen: Option<SocketAddr>,
-    /// Address at which the balancer asks whether the process is ready.
+    /// Address at which the load balancer polls readiness.
     pub ready_listen: SocketAddr,
-    /// Address for other processes of the system.
+    /// Address of the listener for other processes of the system.
     pub internal_listen: SocketAddr,
-    /// Address at which the metrics are served; nothing to serve none.
+    /// Address at which metrics are served; `None` disables them.
     pub metrics_listen: Option<SocketAddr>,
     /// Address of the store.
     pub store: String,
-    /// Where the jobs' rows are in the store.
+    /// Distribution of the job rows over partitions of the store.
     pub layout: JobLayout,
     /// Address of the advice service, if there is one.
     pub advice: Option<String>,
-    /// Longest time for a graceful stop.
+    /// Maximum time for draining before the process exits.
     pub drain_limit: Duration,
-    /// Share of a core that the process may use; those with more plan first.
+    /// Share of a core that the process may use. Processes with a larger share take over planning
+    /// earlier.
     pub processor_share: f64,
-    /// How long the state of an ended job is kept.
+    /// Time for which the row of an ended job is retained.
     pub ended_job_retention: Duration,
 }
 
 impl PlannerSettings {
-    /// Parses and checks settings.
+    /// Parses and validates settings; `file` is the file name shown in findings.
     ///
     /// # Errors
     ///
@@ -90,20 +95,20 @@
     pub id: String,
     /// Failure domain of the host.
     pub domain: DomainName,
-    /// Address at which the host's runner registers.
+    /// Address at which the runner of the host registers.
     pub registry_listen: SocketAddr,
-    /// Address for the planner.
+    /// Address of the listener for the planner.
     pub internal_listen: SocketAddr,
-    /// Address under which the planner reaches the one before, where that is another.
+    /// Address at which the planner reaches `internal_listen`, if it differs from it.
     pub internal_advertise: Option<SocketAddr>,
-    /// Address at which the metrics are served; nothing to serve none.
+    /// Address at which metrics are served; `None` disables them.
     pub metrics_listen: Option<SocketAddr>,
     /// Address of the store.
     pub store: String,
 }
 
 impl NodeSettings {
-    /// Parses and checks settings.
+    /// Parses and validates settings; `file` is the file name shown in findings.
     ///
     /// # Errors
     ///
@@ -129,10 +134,11 @@
     }
 }
 
+/// Reads the number of job partitions, and reports one that is out of range.
 fn read_layout(reader: &mut IniReader) -> JobLayout {
     let partitions = reader.value("store", "job-partitions", JobLayout::default().partitions);
     if !(1..=MAX_JOB_PARTITIONS).contains(&partitions) {
-        reader.report("store", "job-partitions", &format!("give 1 to {MAX_JOB_PARTITIONS}"));
+        reader.report("store", "job-partitions", &format!("must be 1 to {MAX_JOB_PARTITIONS}"));
     }
     JobLayout { partitions }
 }
@@ -141,7 +147,7 @@
     let text = reader.text(section, key).filter(|text| !text.is_empty())?;
     let address = text.parse().ok();
     if address.is_none() {
-        reader.report(section, key, &format!("'{text}' is no address with a port"));
+        reader.report(section, key, &format!("'{text}' is not an address with a port"));
     }
     address
 }
@@ -153,7 +159,7 @@
         return unset;
     }
     text.parse().unwrap_or_else(|_| {
-        reader.report(section, key, &format!("'{text}' is no address with a port"));
+        reader.report(section, key, &format!("'{text}' is not an address with a port"));
         unset
     })
 }
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a planner process share.
+//! State that the tasks of a planner process share.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,41 +27,42 @@
 use crate::version::queue_table::QueueTable;
 use crate::workflow::planner::Planner;
 
-/// The planner while this process is the owner, and what proves it.
+/// The planner of a process that holds the ownership of planning.
 #[derive(Debug)]
 pub struct OwnedPlanner {
-    /// The planner.
+    /// The planner's state.
     pub planner: Planner,
-    /// When the last call was sent that the store answered under this ownership.
+    /// When the latest store call was sent whose response confirmed this ownership. Leases are
+    /// granted for a limited time from here on.
     pub confirmed_at: Instant,
 }
 
-/// What is known of the ownership.
+/// The ownership of planning as this process last read it from the store.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipView {
-    /// Who plans.
+    /// Row of the current owner; `None` before the first read.
     pub owner: Option<OwnerRow>,
-    /// The newest pulse.
+    /// The owner's latest heartbeat.
     pub heartbeat: HeartbeatRow,
 }
 
-/// State that lives as long as the process.
+/// State that exists for the lifetime of the process.
 pub struct PlannerShared {
-    /// Settings.
+    /// The process's settings.
     pub settings: PlannerSettings,
-    /// The store.
+    /// The store, which also records how its calls end.
     pub store: Arc<ObservedStore>,
     /// The advice service, if there is one.
     pub advice: Option<Arc<dyn AdviceService>>,
-    /// Names this run of the process.
+    /// Random identifier of this run of the process, written into the owner's row.
     pub holder: String,
-    /// Counters and histograms.
+    /// Metrics of the process.
     pub metrics: ProcessMetrics,
-    /// The wall clock.
+    /// Wall clock, read once at the start and advanced by the steady clock, so that it never jumps.
     pub clock: SteadyClock,
-    /// The queues in force.
+    /// The queue configuration in effect; `None` until the first one has been read.
     pub queues: watch::Sender<Option<Arc<QueueTable>>>,
-    /// Wakes the planner's loop.
+    /// Wakes the planner's loop and the ownership elector.
     pub wake: Notify,
     is_stopping: AtomicBool,
     retry_pace: Mutex<RetryPace>,
@@ -71,7 +72,7 @@
 }
 
 impl PlannerShared {
-    /// State of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(
         settings: PlannerSettings,
         store: Arc<dyn RowStore>,
@@ -94,22 +95,24 @@
         }
     }
 
-    /// The planner, if this process owns it.
+    /// Locks the planner; `None` unless this process holds the ownership.
     pub fn owned(&self) -> MutexGuard<'_, Option<OwnedPlanner>> {
         self.owned.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of the ownership.
+    /// Locks the ownership as last read from the store.
     pub fn view(&self) -> MutexGuard<'_, OwnershipView> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the store has answered this process of late.
+    /// Whether the store has recently answered a call of this process.
     pub fn is_store_reachable(&self) -> bool {
         self.store.health().is_near(clock::now())
     }
 
-    /// Takes in how a call of a watch ended, and waits after a failure until it may be made again.
+    /// Records the result of a watch call. After a failure, waits for the back-off that all watches
+    /// of the process share. Dropped history is not a failure: the watch reads all rows again at
+    /// once.
     pub async fn pace_retries<T>(&self, result: &Result<T, RowError>) {
         if !result.as_ref().is_err_and(|error| *error != RowError::HistoryGone) {
             self.retry_pace().on_answer();
@@ -123,7 +126,7 @@
         self.retry_pace.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Addresses of other planner processes; that of the planner first.
+    /// Addresses of the other planner processes, the owner's first.
     pub fn peers(&self) -> Vec<String> {
         let own = self.settings.internal_listen.to_string();
         let owner = self.view().owner.as_ref().map(|owner| owner.address.clone());
@@ -133,22 +136,22 @@
         all.filter(|peer| *peer != own).collect()
     }
 
-    /// Adds another planner process.
+    /// Records the address of a planner process.
     pub fn add_peer(&self, address: String) {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner).insert(address);
     }
 
-    /// Removes a planner process that is gone.
+    /// Removes the address of a planner process whose row was removed.
     pub fn remove_peer(&self, address: &str) {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
     }
 
-    /// Whether the process is about to stop.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Takes note that the process is about to stop.
+    /// Marks the process as stopping and wakes the planner's loop.
     pub fn set_stopping(&self) {
         self.is_stopping.store(true, Ordering::Release);
         self.wake.notify_one();
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -1,13 +1,15 @@
-//! The store as the job desk reaches it: directly, or through another planner process.
+//! Access of the job service to the store, directly or relayed by another planner process.
 //!
-//! The store may turn one host away and serve the others; then another process passes the call on. It may as well be slow or
-//! overloaded for all; then each call that is passed on is one more in the same queue, and what the caller gets for it
-//! is nothing. Both are told apart by what else this process hears from the store: while any of its watches is answered, a
-//! call without an answer is slow, and is waited for as long as the caller waits.
+//! The store may reject one host while it serves the others; a call is then relayed by another
+//! planner process. The store may also be slow or overloaded for all hosts; a relayed call then
+//! only adds to the store's queue. The two cases are distinguished by the other calls of this
+//! process: while the store answers any of its watches, an unanswered call is considered slow, and
+//! is awaited until the caller's deadline.
 //!
-//! The load is 19 submissions a second at a store whose transactions take 0.3 s, for six seconds, with 35 entry hosts. When
-//! each call was given up after 0.6 s and passed through all others in turn, 79 callers of that span waited to their deadline
-//! without an answer, since each of their calls was carried out several times.
+//! An overloaded store is the reason for this rule. With 35 planner processes, 19 submissions a
+//! second for six seconds and store transactions that take 0.3 s, a version that abandoned each
+//! call after 0.6 s and relayed it to all other processes in turn left 79 callers without an answer
+//! until their deadline, since the store executed each of their calls several times.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,31 +34,32 @@
 use crate::process::gate::CallDeadline;
 use crate::process::planning::shared::PlannerShared;
 
-/// Time for a direct call after which it is asked whether the store is silent here or slow for all.
+/// Time after which an unanswered direct call is checked: it is relayed if the store has answered
+/// no other call of this process since.
 const DIRECT_CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for a call through another process.
+/// Timeout of a call relayed by another process.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(650);
-/// Time for a connection to another process; processes are a millisecond apart.
+/// Timeout of a connection to another process; the round-trip time is about a millisecond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Other processes that are asked for one call: the store turns a part of the hosts away, a third of them in what was
-/// seen, so that three at random fail together in one case of 27.
+/// Maximum number of processes that relay one call. The store has been seen to reject a third of
+/// the hosts, in which case three random ones are all rejected in 1 of 27 cases.
 const MAX_RELAYS: usize = 3;
-/// Time after a round through the other processes that was in vain in which none is tried.
+/// Time without relaying after all relays of a call have failed.
 const RELAY_BACKOFF: Duration = Duration::from_millis(400);
-/// Kept of the caller's time, so that an answer still reaches it.
+/// Part of a caller's deadline that is reserved for returning the response.
 pub(super) const ANSWER_RESERVE: Duration = Duration::from_millis(150);
 
-/// Access of a job desk to the store.
+/// Access of the job service to the store.
 pub struct StoreAccess {
     shared: Arc<PlannerShared>,
     peers: ConnectionCache<PlannerRpcClient>,
-    /// Where the next round through the other processes begins, so that no one of them carries all.
+    /// Index of the process at which the next call begins to relay, which spreads the load.
     next_peer: AtomicUsize,
     relays_failed_at: Mutex<Option<Instant>>,
 }
 
 impl StoreAccess {
-    /// Opens the access.
+    /// Creates the access; connections to other processes are opened on demand.
     pub fn open(shared: Arc<PlannerShared>) -> StoreAccess {
         StoreAccess {
             shared,
@@ -66,7 +69,8 @@
         }
     }
 
-    /// Applies a transaction. A conflict after an ambiguous try may be that try's own doing.
+    /// Commits a transaction. After an ambiguous attempt, a conflict may be caused by that attempt
+    /// itself, if it was applied.
     pub async fn commit(
         &self,
         transaction: &RowTransaction,
@@ -79,7 +83,7 @@
         self.call_with_fallback(direct, relay, deadline).await
     }
 
-    /// Reads a row.
+    /// Reads a row; `None` if it does not exist.
     pub async fn get(
         &self,
         name: &RowName,
@@ -92,7 +96,8 @@
         self.call_with_fallback(direct, relay, deadline).await
     }
 
-    /// Calls the store itself, and through other processes where it is silent here or refuses.
+    /// Calls the store directly, and through other processes if it does not answer this one or
+    /// refuses.
     async fn call_with_fallback<T, E, F, C>(
         &self,
         direct: impl Future<Output = Result<T, RowError>>,
@@ -126,14 +131,15 @@
             };
         }
         match timeout(time_left(deadline), direct).await.unwrap_or_else(|_| Err(timed_out())) {
-            // That the store refuses the call here says nothing of what it did for the others.
+            // The store's refusal of the direct call does not rule out that a relayed one was
+            // applied.
             Err(error) if is_worth_relaying(&error) => Err(more_ambiguous(failure, error)),
             settled => settled,
         }
     }
 
-    /// Repeats a call that the store did not answer here through other processes, one after another, as long as the caller
-    /// waits.
+    /// Repeats a failed direct call through other processes, one after another, until one succeeds
+    /// or the caller's deadline is reached. `failure` is the error of the direct call.
     async fn call_through_relays<T, E, F, C>(
         &self,
         mut failure: RowError,
@@ -158,11 +164,12 @@
             let answer = match timeout(time_left(deadline), relay(client)).await {
                 Ok(Ok(answer)) => answer,
                 Ok(Err(_)) => {
-                    // The connection may have gone silent.
+                    // The connection may be half-open; the next call opens a new one.
                     self.peers.drop_client(&address);
                     Err(timed_out())
                 }
-                // The caller's time is over, which says nothing of the connection.
+                // The caller's deadline has passed, which does not mean that the connection is
+                // broken.
                 Err(_) => Err(timed_out()),
             };
             match answer {
@@ -174,7 +181,8 @@
         Err(failure)
     }
 
-    /// Whom to ask next: who plans, since it writes without pause, and others in turn.
+    /// Addresses of the processes to relay through: the owner first, since it writes all the time
+    /// and so is likely to reach the store, then others in turn.
     fn relay_addresses(&self) -> Vec<String> {
         let mut peers = self.shared.peers();
         if let Some((_, others)) = peers.split_first_mut().filter(|(_, others)| !others.is_empty())
@@ -186,31 +194,32 @@
         peers
     }
 
-    /// Whether no other process reached the store either a moment ago; then callers are told at once.
+    /// Whether the relays of a recent call have all failed, in which case callers get the error
+    /// without further attempts.
     fn is_backing_off(&self) -> bool {
         let since = *self.relays_failed_at.lock().unwrap_or_else(PoisonError::into_inner);
         since.is_some_and(|since| clock::elapsed(since) < RELAY_BACKOFF)
     }
 }
 
-/// Time for which a call may still be waited for.
+/// Time left for calls of the store before the caller's deadline.
 fn time_left(deadline: CallDeadline) -> Duration {
     deadline.left().saturating_sub(ANSWER_RESERVE)
 }
 
 fn unreachable_here() -> RowError {
-    RowError::Refused { reason: "the store does not answer here".to_string() }
+    RowError::Refused { reason: "the store does not answer this process".to_string() }
 }
 
 fn timed_out() -> RowError {
-    RowError::Ambiguous { reason: "no answer in time".to_string() }
+    RowError::Ambiguous { reason: "no response before the timeout".to_string() }
 }
 
 fn is_worth_relaying(error: &RowError) -> bool {
     matches!(error, RowError::Refused { .. } | RowError::Ambiguous { .. })
 }
 
-/// Of two failures the one that leaves more open.
+/// Returns the error that leaves more possibilities: `first` if it is ambiguous, else `second`.
 fn more_ambiguous(first: RowError, second: RowError) -> RowError {
     if matches!(first, RowError::Ambiguous { .. }) { first } else { second }
 }
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -1,4 +1,4 @@
-//! Follows a table of the store: all its rows first, then every change.
+//! Stream of the rows of a table in the store: all rows first, then every change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,11 @@
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
 
-/// Longest wait for changes in one call; a connection that went silent costs no more than this.
+/// Maximum time that one feed call waits for changes. It bounds the delay that a half-open
+/// connection causes.
 const FEED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A table that is followed; it ends when it is dropped.
+/// Handle of a feed, whose task is aborted when the handle is dropped.
 #[derive(Debug)]
 pub struct TableFeed {
     rows: mpsc::UnboundedReceiver<Vec<StoredRow>>,
@@ -32,7 +33,8 @@
 }
 
 impl TableFeed {
-    /// Starts following a table after a version; without one all its rows in the partitions come first.
+    /// Starts a feed of the changes of `table` after the version `after`. Without a version, it
+    /// first reads all rows of `partitions`.
     pub fn spawn(
         shared: Arc<PlannerShared>,
         table: &'static str,
@@ -43,7 +45,8 @@
         TableFeed { rows, running: tokio::spawn(follow(shared, table, partitions, after, sender)) }
     }
 
-    /// The next rows: changed ones, or all after a gap in the history.
+    /// Waits for the next rows: changed ones, or all rows if the store has dropped the history in
+    /// between.
     pub async fn next(&mut self) -> Vec<StoredRow> {
         match self.rows.recv().await {
             Some(rows) => rows,
