--- a/src/process/planning/queue_watch.rs
+++ b/src/process/planning/queue_watch.rs
@@ -26,9 +26,9 @@
         let mut after = None;
         let mut has_failed = false;
         loop {
-            let followed = follow(&shared, after).await;
-            shared.pace_retries(&followed).await;
-            match followed {
+            let read = read_configuration(&shared, after).await;
+            shared.pace_retries(&read).await;
+            match read {
                 Ok(version) => {
                     if std::mem::take(&mut has_failed) {
                         log_event(
@@ -53,7 +53,10 @@
 }
 
 /// Reads the configuration the first time, and waits for changes of it later.
-async fn follow(shared: &PlannerShared, after: Option<RowVersion>) -> Result<RowVersion, RowError> {
+async fn read_configuration(
+    shared: &PlannerShared,
+    after: Option<RowVersion>,
+) -> Result<RowVersion, RowError> {
     let (rows, version) = match after {
         Some(after) => {
             let page = shared.store.feed(OPERATOR_TABLE, after, FEED_TIMEOUT).await?;
@@ -83,14 +86,14 @@
             return;
         }
     };
-    let known = shared.queues.borrow().as_ref().map_or(0, |table| table.version);
-    if table.version <= known {
+    let current = shared.queues.borrow().as_ref().map_or(0, |table| table.version);
+    if table.version <= current {
         return;
     }
     log_event(
         Level::Info,
         "configuration_in_force",
-        &[("version", &table.version), ("before", &known), ("queues", &table.len())],
+        &[("version", &table.version), ("before", &current), ("queues", &table.len())],
     );
     shared.queues.send_replace(Some(Arc::new(table)));
 }
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -42,7 +42,10 @@
         after: Option<RowVersion>,
     ) -> TableFeed {
         let (sender, rows) = mpsc::unbounded_channel();
-        TableFeed { rows, running: tokio::spawn(follow(shared, table, partitions, after, sender)) }
+        TableFeed {
+            rows,
+            running: tokio::spawn(run_feed(shared, table, partitions, after, sender)),
+        }
     }
 
     /// Waits for the next rows: changed ones, or all rows if the store has dropped the history in
@@ -55,7 +58,7 @@
     }
 }
 
-async fn follow(
+async fn run_feed(
     shared: Arc<PlannerShared>,
     table: &'static str,
     partitions: Vec<String>,
