--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -26,7 +26,7 @@
     /// lost and the rows show that the transaction was applied.
     Stored(RowVersion, Option<Instant>),
     /// A condition did not hold. Contains the current rows that the conditions name.
-    Refused(Vec<StoredRow>),
+    Conflict(Vec<StoredRow>),
 }
 
 /// Commits a transaction, retrying until it is known to be applied or refused. A retry, or an
@@ -46,7 +46,7 @@
                 let applied = applied_version(transaction, &rows).filter(|_| is_ambiguous);
                 return match applied {
                     Some(version) => CommitOutcome::Stored(version, None),
-                    None => CommitOutcome::Refused(rows),
+                    None => CommitOutcome::Conflict(rows),
                 };
             }
             Err(error) => {
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -74,7 +74,7 @@
                 self.on_stored(purpose, version);
                 Ok(())
             }
-            CommitOutcome::Refused(rows) => self.on_refused(purpose, &transaction, &rows),
+            CommitOutcome::Conflict(rows) => self.on_conflict(purpose, &transaction, &rows),
         }
     }
 
@@ -90,7 +90,7 @@
 
     /// Handles a conflict. Only job rows may have changed, through a cancellation by a caller; any
     /// other changed row ends planning.
-    pub(super) fn on_refused(
+    pub(super) fn on_conflict(
         &mut self,
         purpose: WritePurpose,
         transaction: &RowTransaction,
