--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -252,7 +252,7 @@
     fn on_link_event(&mut self, event: LinkEvent) -> StepResult {
         match event {
             LinkEvent::Report { address, mut report, is_new_link } => {
-                report.former.retain(|life| self.may_report_ended(&address, life));
+                report.former.retain(|instance| self.may_report_ended(&address, instance));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
                     self.agent_addresses.insert(runner.instance.clone(), address);
@@ -272,18 +272,18 @@
     /// Whether an agent may report that a runner instance has ended: not if the instance is known
     /// to run at another agent. An agent gets the name of such an instance from a heartbeat that
     /// another program sent, or that was sent to the wrong host.
-    fn may_report_ended(&mut self, address: &str, life: &InstanceId) -> bool {
-        let known = self.agent_addresses.get(life);
+    fn may_report_ended(&mut self, address: &str, instance: &InstanceId) -> bool {
+        let known = self.agent_addresses.get(instance);
         if known.is_none_or(|known| known == address) {
             return true;
         }
         if self.disputed_instances.len() >= MAX_DISPUTED_INSTANCES {
             self.disputed_instances.clear();
         }
-        if self.disputed_instances.insert((life.clone(), address.to_string())) {
+        if self.disputed_instances.insert((instance.clone(), address.to_string())) {
             let known = known.cloned().unwrap_or_default();
             let fields: [(&str, &dyn Display); 3] =
-                [("instance", life), ("agent", &address), ("known_at", &known)];
+                [("instance", instance), ("agent", &address), ("known_at", &known)];
             log_event(Level::Warn, "foreign_life_ignored", &fields);
         }
         false
