--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -96,7 +96,7 @@
             address,
             events,
             stamp: LinkStamp { epoch, link: 0 },
-            order_unanswered: Arc::default(),
+            unanswered: Arc::default(),
         };
         NodeLink { orders, running: tokio::spawn(task.run(batches)) }
     }
@@ -110,7 +110,7 @@
     events: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
     /// Notified when a batch of orders sent over the current connection got no response.
-    order_unanswered: Arc<Notify>,
+    unanswered: Arc<Notify>,
 }
 
 impl LinkTask {
@@ -119,7 +119,7 @@
         loop {
             self.stamp.link += 1;
             self.last_sent = 0;
-            self.order_unanswered = Arc::default();
+            self.unanswered = Arc::default();
             let opened = clock::now();
             let reason = match self.connect().await {
                 Some(client) => {
@@ -208,7 +208,7 @@
                 Some(batch) = batches.recv() => self.send_orders(client, batch),
                 // The agent acknowledges batches in sequence, so a missing one holds up the
                 // acknowledgement of all later ones. A new link starts a new sequence.
-                () = self.order_unanswered.notified() => return Err("orders got no response".to_string()),
+                () = self.unanswered.notified() => return Err("orders got no response".to_string()),
                 () = &mut limit => return Err("no response before the timeout".to_string()),
             }
         }
@@ -222,11 +222,11 @@
             previous: std::mem::replace(&mut self.last_sent, batch.number),
             orders: batch.orders,
         };
-        let (client, order_unanswered) = (client.clone(), self.order_unanswered.clone());
+        let (client, unanswered) = (client.clone(), self.unanswered.clone());
         tokio::spawn(async move {
             // A refusal because of a later link needs no handling here: the sync call gets it, too.
             if client.order(call_within(ANSWER_MARGIN), call).await.is_err() {
-                order_unanswered.notify_one();
+                unanswered.notify_one();
             }
         });
     }
