--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -29,9 +29,9 @@
     Conflict(Vec<StoredRow>),
 }
 
-/// Commits a transaction, retrying until it is known to be applied or refused. A retry, or an
-/// earlier attempt that the store executes late, does no harm: every transaction is conditional on
-/// the versions of its rows, so at most one attempt is applied.
+/// Commits a transaction, retrying until it is known to be applied or in conflict. A retry, or an
+/// earlier attempt that the store executes late, does no harm because of the conditions on row
+/// versions.
 pub async fn commit_until_settled(
     store: Arc<dyn RowStore>,
     transaction: &RowTransaction,
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -85,7 +85,9 @@
 pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
+    /// When the owner's row or heartbeat last changed, or reading them last failed.
     changed_at: Instant,
+    /// Version of the store up to which changes have been read.
     feed_version: Option<RowVersion>,
     has_failed: bool,
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -64,15 +64,20 @@
 pub struct PlannerLoop {
     pub(super) shared: Arc<PlannerShared>,
     pub(super) ownership: ConfirmedOwnership,
+    /// Links to node agents, by address.
     links: BTreeMap<String, NodeLink>,
+    /// Address of the agent of each runner instance.
     agent_addresses: BTreeMap<InstanceId, String>,
     /// Instances that an agent reported as ended although they run at another agent, each with the
     /// reporting agent.
     disputed_instances: BTreeSet<(InstanceId, String)>,
+    /// Sender that every link gets a copy of.
     events: mpsc::UnboundedSender<LinkEvent>,
+    /// The write in flight, if there is one.
     pub(super) write: Option<WriteTask>,
     pub(super) heartbeat_due: Instant,
     pub(super) interference_due: Instant,
+    /// Learned interference as last written.
     pub(super) written_interference: LearnedEffects,
     pub(super) load_log_due: Instant,
     /// Earliest time of the next placement search.
@@ -81,7 +86,7 @@
     has_changes: bool,
 }
 
-/// Result of a step of the loop. The error is the reason for which the ownership ends.
+/// Result of a step of the loop. The error is the reason why planning ends.
 pub(super) type StepResult = Result<(), String>;
 
 impl PlannerLoop {
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -88,8 +88,8 @@
         });
     }
 
-    /// Handles a conflict. Only job rows may have changed, through a cancellation by a caller; any
-    /// other changed row ends planning.
+    /// Handles a conflict. Only job rows may have changed, for example by a cancellation; any other
+    /// changed row ends planning.
     pub(super) fn on_conflict(
         &mut self,
         purpose: WritePurpose,
