--- a/src/process/planning/job_service.rs
+++ b/src/process/planning/job_service.rs
@@ -19,7 +19,7 @@
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 use crate::process::planning::shared::PlannerShared;
-use crate::process::planning::store_access::ANSWER_RESERVE;
+use crate::process::planning::store_access::RESPONSE_RESERVE;
 use crate::process::planning::store_access::StoreAccess;
 use crate::version::queue_table::QueueTable;
 use crate::workflow::progress::JobEnd;
@@ -84,7 +84,7 @@
     /// Whether to retry a call whose outcome is unknown. While the store is unreachable, the caller
     /// gets the error at once and may call again.
     fn may_retry(&self, deadline: CallDeadline) -> bool {
-        self.shared.is_store_reachable() && deadline.left() >= ANSWER_RESERVE + RETRY_DELAY
+        self.shared.is_store_reachable() && deadline.left() >= RESPONSE_RESERVE + RETRY_DELAY
     }
 
     async fn read_job(
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -35,7 +35,7 @@
 const SYNC_WAIT: Duration = Duration::from_millis(400);
 /// Time that an agent has for a response beyond the requested wait, sufficient also if its host is
 /// five times slower than usual.
-const ANSWER_MARGIN: Duration = Duration::from_millis(900);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
 /// Delay before a lost link is established again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
@@ -189,7 +189,7 @@
         batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
-        let limit = call.wait + ANSWER_MARGIN;
+        let limit = call.wait + RESPONSE_MARGIN;
         let answer = client.sync(call_within(limit), call);
         tokio::pin!(answer);
         let limit = tokio::time::sleep(limit);
@@ -225,7 +225,7 @@
         let (client, unanswered) = (client.clone(), self.unanswered.clone());
         tokio::spawn(async move {
             // A refusal because of a later link needs no handling here: the sync call gets it, too.
-            if client.order(call_within(ANSWER_MARGIN), call).await.is_err() {
+            if client.order(call_within(RESPONSE_MARGIN), call).await.is_err() {
                 unanswered.notify_one();
             }
         });
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -47,7 +47,7 @@
 /// Time without relaying after all relays of a call have failed.
 const RELAY_BACKOFF: Duration = Duration::from_millis(400);
 /// Part of a caller's deadline that is reserved for returning the response.
-pub(super) const ANSWER_RESERVE: Duration = Duration::from_millis(150);
+pub(super) const RESPONSE_RESERVE: Duration = Duration::from_millis(150);
 
 /// Access of the job service to the store.
 pub struct StoreAccess {
@@ -204,7 +204,7 @@
 
 /// Time left for calls of the store before the caller's deadline.
 fn time_left(deadline: CallDeadline) -> Duration {
-    deadline.left().saturating_sub(ANSWER_RESERVE)
+    deadline.left().saturating_sub(RESPONSE_RESERVE)
 }
 
 fn unreachable_here() -> RowError {
