--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -49,9 +49,9 @@
     /// Version of the row, on which the planner's writes are conditional.
     pub version: RowVersion,
     /// When the call that took the ownership was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// When that call was answered.
-    pub answered: Instant,
+    pub answered_at: Instant,
     /// Whether there was an earlier owner, whose leases may still be valid.
     pub has_predecessor: bool,
 }
@@ -200,17 +200,17 @@
             puts: vec![(owner_row(), encode(&owner))],
             removes: Vec::new(),
         };
-        let sent = clock::now();
+        let sent_at = clock::now();
         match self.shared.store.commit(&transaction).await {
             Ok(version) => {
                 self.shared.view().owner = Some(owner.clone());
-                let answered = clock::now();
+                let answered_at = clock::now();
                 let has_predecessor = owner.epoch > 1;
                 self.plan_as_owner(ConfirmedOwnership {
                     owner,
                     version,
-                    sent,
-                    answered,
+                    sent_at,
+                    answered_at,
                     has_predecessor,
                 })
                 .await;
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -157,9 +157,12 @@
     /// Loads all jobs, their progress and the learned interference. Returns the version after which
     /// changes of jobs have to be read from the feed.
     async fn load(&mut self) -> Result<RowVersion, String> {
-        let answered = self.ownership.answered;
-        let expired =
-            if self.ownership.has_predecessor { predecessors_expired(answered) } else { answered };
+        let answered_at = self.ownership.answered_at;
+        let expired = if self.ownership.has_predecessor {
+            predecessors_expired(answered_at)
+        } else {
+            answered_at
+        };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
@@ -184,7 +187,7 @@
             "jobs_loaded",
             &[("jobs", &jobs.len()), ("in_progress", &progress.len()), ("version", &version)],
         );
-        let confirmed_at = self.ownership.sent;
+        let confirmed_at = self.ownership.sent_at;
         *self.shared.owned() = Some(OwnedPlanner { planner, confirmed_at });
         Ok(version)
     }
