--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -51,7 +51,7 @@
 /// Minimum pause between two placement searches, as a multiple of the duration of the last one.
 /// With thousands of waiting tasks, reports arrive faster than searches end; without the pause,
 /// heartbeats and orders would be delayed.
-const PLAN_REST_FACTOR: u32 = 3;
+const PLAN_PAUSE_FACTOR: u32 = 3;
 /// Delay before a failed read of a table at a takeover is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Delay before the planner may query the advice service again after a failed query.
@@ -134,7 +134,7 @@
         let mut tick = tokio::time::interval(TICK_PERIOD);
         while !self.shared.is_stopping() {
             let shared = self.shared.clone();
-            let rest = self.next_plan_at.saturating_duration_since(clock::now());
+            let pause = self.next_plan_at.saturating_duration_since(clock::now());
             tokio::select! {
                 rows = jobs.next() => self.on_jobs(&rows),
                 rows = nodes.next() => self.on_nodes(&rows),
@@ -147,7 +147,7 @@
                 result = write_result(&mut self.write) => self.on_write_result(result)?,
                 _ = tick.tick() => self.on_tick(),
                 () = shared.wake.notified() => {}
-                () = tokio::time::sleep(rest), if self.has_changes => {}
+                () = tokio::time::sleep(pause), if self.has_changes => {}
             }
             self.plan();
         }
@@ -166,9 +166,9 @@
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
-        let own = [PARTITION.to_string()];
-        let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
-        let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
+        let partitions = [PARTITION.to_string()];
+        let (progress, _) = self.read_table(PROGRESS_TABLE, &partitions).await?;
+        let (learned, _) = self.read_table(LEARNED_TABLE, &partitions).await?;
         self.warn_about_other_layout(layout).await?;
         for (job, version, record) in job_records(&jobs) {
             planner.on_record(&job, version, record);
@@ -198,9 +198,10 @@
         if layout == JobLayout::default() {
             return Ok(());
         }
-        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
-        if !left.is_empty() {
-            log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &left.len())]);
+        let (unplanned, _) =
+            self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
+        if !unplanned.is_empty() {
+            log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &unplanned.len())]);
         }
         Ok(())
     }
@@ -308,7 +309,7 @@
         let started = clock::now();
         if started >= self.next_plan_at {
             self.with_planner(Planner::plan);
-            self.next_plan_at = clock::now() + clock::elapsed(started) * PLAN_REST_FACTOR;
+            self.next_plan_at = clock::now() + clock::elapsed(started) * PLAN_PAUSE_FACTOR;
             self.has_changes = false;
         }
         if self.write.is_none() {
