--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -68,7 +68,7 @@
 pub struct PlannerProcess {
     /// Addresses of its listeners, with the port numbers that were assigned.
     pub addresses: PlannerAddresses,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl PlannerProcess {
@@ -118,7 +118,7 @@
         let (ready_switch, ready_stop) = StopSwitch::new();
         spawn_http_server(ready, caller_gate::ready_router(gate), limits, ready_stop);
         let elector = OwnershipElector::spawn(shared.clone());
-        let running = tokio::spawn(async move {
+        let task = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[("id", &shared.settings.id)]);
             shared.set_stopping();
@@ -136,12 +136,12 @@
             log_event(Level::Info, "stopped", &[("id", &shared.settings.id)]);
             drop(ready_switch);
         });
-        Ok(PlannerProcess { addresses, running })
+        Ok(PlannerProcess { addresses, task })
     }
 
     /// Waits until the process has drained and stopped.
     pub async fn stopped(self) {
         // The runtime has printed a panic of the task, so the join error is dropped.
-        let _ = self.running.await;
+        let _ = self.task.await;
     }
 }
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -72,12 +72,12 @@
 pub struct NodeLink {
     /// Queue of the orders to send.
     pub orders: mpsc::UnboundedSender<OrderBatch>,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for NodeLink {
     fn drop(&mut self) {
-        self.running.abort();
+        self.task.abort();
     }
 }
 
@@ -98,7 +98,7 @@
             stamp: LinkStamp { epoch, link: 0 },
             unanswered: Arc::default(),
         };
-        NodeLink { orders, running: tokio::spawn(task.run(batches)) }
+        NodeLink { orders, task: tokio::spawn(task.run(batches)) }
     }
 }
 
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -23,12 +23,12 @@
 #[derive(Debug)]
 pub struct TableFeed {
     rows: mpsc::UnboundedReceiver<Vec<StoredRow>>,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for TableFeed {
     fn drop(&mut self) {
-        self.running.abort();
+        self.task.abort();
     }
 }
 
@@ -42,10 +42,7 @@
         after: Option<RowVersion>,
     ) -> TableFeed {
         let (sender, rows) = mpsc::unbounded_channel();
-        TableFeed {
-            rows,
-            running: tokio::spawn(run_feed(shared, table, partitions, after, sender)),
-        }
+        TableFeed { rows, task: tokio::spawn(run_feed(shared, table, partitions, after, sender)) }
     }
 
     /// Waits for the next rows: changed ones, or all rows if the store has dropped the history in
