--- a/src/connection/node_protocol.rs
+++ b/src/connection/node_protocol.rs
@@ -16,9 +16,9 @@
 use crate::ids::RunNumber;
 use crate::ids::ServiceName;
 use crate::workflow::progress::RunEnd;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::task_name::TaskName;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Age up to which a run is young. A program that crashes its worker as it starts does so well within this time.
 pub const YOUNG_SPAN: Duration = Duration::from_millis(1_000);
@@ -68,7 +68,7 @@
     /// Its failure domain.
     pub domain: DomainName,
     /// What it can hold.
-    pub capacity: RoomAmount,
+    pub capacity: ResourceVector,
     /// Its kind and its rack.
     pub labels: Vec<String>,
     /// Whether it is leaving.
@@ -80,13 +80,13 @@
     ///
     /// ```
     /// use greengagearch::connection::node_protocol::RunnerStatus;
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let status = RunnerStatus {
     ///     instance: "i-1".into(),
     ///     service: "s".into(),
     ///     domain: "d".into(),
-    ///     capacity: RoomAmount::default(),
+    ///     capacity: ResourceVector::default(),
     ///     labels: vec!["a".into(), "r1-2".into()],
     ///     draining: false,
     /// };
@@ -188,7 +188,7 @@
 
 /// What the agent saw when it last looked at its runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunnerLook {
+pub struct RunnerSnapshot {
     /// All runs that the runner has or may still take.
     pub present: Vec<PresentRun>,
     /// Ends that are not stored yet.
@@ -199,13 +199,13 @@
     pub orders_seen: u64,
 }
 
-impl RunnerLook {
+impl RunnerSnapshot {
     /// Whether the runner itself shows a run, at work or as an end.
     ///
     /// ```
-    /// use greengagearch::connection::node_protocol::RunnerLook;
+    /// use greengagearch::connection::node_protocol::RunnerSnapshot;
     ///
-    /// assert!(!RunnerLook::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
+    /// assert!(!RunnerSnapshot::default().shows(&("a.0.0.0".parse().unwrap(), 1)));
     /// ```
     pub fn shows(&self, key: &RunKey) -> bool {
         let is_begun = |run: &PresentRun| run.is_begun && run.task == key.0 && run.run == key.1;
@@ -274,7 +274,7 @@
     /// Of the former lives, those that broke off of late.
     pub crashes: Vec<RunnerCrash>,
     /// The newest look; nothing when the runner did not answer lately.
-    pub look: Option<RunnerLook>,
+    pub snapshot: Option<RunnerSnapshot>,
 }
 
 /// What a task that fills adds to the load of tasks of one image that serve.
@@ -296,9 +296,9 @@
     /// Bound on its tail latency in milliseconds; zero for a task that does not serve.
     pub target_ms: u64,
     /// Whether it fills what others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// What it takes of the guarded capacity.
-    pub room: RoomAmount,
+    pub resources: ResourceVector,
     /// What it adds at full pace to the loads of tasks that serve, by their images.
     pub effects: Vec<ImageEffect>,
     /// Tail latency of a task that serves when nothing loads it, in milliseconds; zero when not known.
@@ -311,14 +311,14 @@
     /// ```
     /// use greengagearch::connection::node_protocol::ImageEffect;
     /// use greengagearch::connection::node_protocol::TaskTraits;
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
     /// let traits = TaskTraits {
     ///     task: "a.0.0.0".parse().unwrap(),
     ///     image: "f".to_string(),
     ///     target_ms: 0,
-    ///     fills: true,
-    ///     room: RoomAmount::default(),
+    ///     best_effort: true,
+    ///     resources: ResourceVector::default(),
     ///     effects: vec![ImageEffect { serving: "s".to_string(), added_permille: 40 }],
     ///     idle_tail_ms: 0,
     /// };
--- a/src/process/agent/lease_keeper.rs
+++ b/src/process/agent/lease_keeper.rs
@@ -106,10 +106,10 @@
         // The answer may be old; what it says held at some time after the claim was sent.
         holder.on_read(epoch, sent);
         if epoch == FIRST_EPOCH {
-            self.shared.journal().vouch_for_all();
+            self.shared.journal().set_complete();
         } else if !wait.is_zero() {
             // Until then an earlier run may still take orders that this one will never know of.
-            self.shared.journal().vouch_from(self.shared.clock.wall() + wait);
+            self.shared.journal().set_complete_from(self.shared.clock.wall() + wait);
         }
         self.shared.set_journal_ready();
         *self.shared.lease() = Some(WorkerLease { holder, acts_from });
@@ -130,7 +130,7 @@
         };
         match row.decode::<JournalHandover>() {
             Ok(handover) if handover.epoch + 1 == epoch => {
-                self.shared.journal().take_over(handover);
+                self.shared.journal().import_handover(handover);
             }
             Ok(_) => {}
             Err(error) => log_event(Level::Warn, "row_malformed", &[("error", &error)]),
@@ -168,7 +168,7 @@
             worker.holder = 0;
             worker.released = true;
         }
-        let handover = self.shared.journal().hand_over(epoch);
+        let handover = self.shared.journal().export_handover(epoch);
         let journal_key = journal_key(&self.shared.settings.worker);
         let Ok(known) = self.shared.table.get(&journal_key).await else {
             return false;
--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -25,9 +25,9 @@
 use crate::request::pool_endpoint::EndpointKey;
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::SlotResult;
-use crate::request::request_id::CLOCK_SKEW;
 use crate::request::request_id::IdAge;
-use crate::request::request_id::forget_time;
+use crate::request::request_id::MAX_CLOCK_SKEW;
+use crate::request::request_id::expiry_time;
 use crate::request::request_id::id_age;
 use crate::request::request_id::id_time;
 use crate::request::request_id::id_window;
@@ -149,7 +149,7 @@
         IdAge::InFuture => return RequestOutcome::not_run(NotRunReason::IdInFuture).into(),
     }
     let id = request.id;
-    match shared.ledger.begin(id, request.digest, forget_time(time, window)) {
+    match shared.ledger.begin(id, request.digest, expiry_time(time, window)) {
         DeskVerdict::Ended(outcome) => outcome.into(),
         DeskVerdict::Conflict => RequestOutcome::not_run(NotRunReason::BodyConflict).into(),
         DeskVerdict::Wait(receiver) => await_other(receiver, request.time_left).await.into(),
@@ -188,7 +188,7 @@
     let owned_since = shared.clock.wall_at(right.since);
     // An earlier owner may have run every id that it could have accepted: up to one skew ahead of
     // its clock, which may itself be one skew ahead of this one's.
-    if time < owned_since + 2 * CLOCK_SKEW && right.epoch > FIRST_EPOCH {
+    if time < owned_since + 2 * MAX_CLOCK_SKEW && right.epoch > FIRST_EPOCH {
         let settled = settle(shared, document, &request, right).await;
         if let Some(outcome) = settled {
             return outcome.into();
@@ -244,7 +244,8 @@
             SlotDecision::Granted(key) => key,
             SlotDecision::Queued => break,
             SlotDecision::Refused { reason, retry_after } => {
-                return RequestOutcome::NotRun { reason, retry_after }.after(was_unknown);
+                return RequestOutcome::NotRun { reason, retry_after }
+                    .combine_with_earlier(was_unknown);
             }
         };
         trace.worker = Some(key.worker.clone());
@@ -266,12 +267,12 @@
                 tries += 1;
                 avoid = Some(key);
             }
-            outcome => return outcome.after(was_unknown),
+            outcome => return outcome.combine_with_earlier(was_unknown),
         }
     }
     let refused =
         RequestOutcome::NotRun { reason: NotRunReason::Overloaded, retry_after: TRIES_PAUSE };
-    refused.after(was_unknown)
+    refused.combine_with_earlier(was_unknown)
 }
 
 async fn try_endpoint(
@@ -326,7 +327,7 @@
         return unknown(UnknownReason::AgentSilent);
     };
     let slot = match &reply.outcome {
-        RequestOutcome::Answered(answer) if !answer.is_whole() => {
+        RequestOutcome::Answered(answer) if !answer.is_intact() => {
             return unknown(UnknownReason::AnswerLost);
         }
         RequestOutcome::Answered(answer) if answer.status >= 500 => SlotResult::Failure,
--- a/src/process/node/shared.rs
+++ b/src/process/node/shared.rs
@@ -14,8 +14,8 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::metrics::ProcessMetrics;
-use crate::process::node::known_runner::BeatEffect;
-use crate::process::node::known_runner::KnownRunner;
+use crate::process::node::registered_runner::HeartbeatEffect;
+use crate::process::node::registered_runner::RegisteredRunner;
 use crate::process::node::state::NodeState;
 
 /// Orders on their way to the runner at once: each takes a connection, and new ones are priced. More than
@@ -35,7 +35,7 @@
     /// Wakes the loop that looks at the runner.
     pub look: Notify,
     /// Tells that another life of the runner may have begun.
-    pub life_changed: Notify,
+    pub instance_changed: Notify,
     state: Mutex<NodeState>,
     /// The life of the last heartbeat that was dropped: those that follow are not logged again.
     dropped: Mutex<InstanceId>,
@@ -50,7 +50,7 @@
             metrics: ProcessMetrics::open(),
             news: Notify::new(),
             look: Notify::new(),
-            life_changed: Notify::new(),
+            instance_changed: Notify::new(),
             state: Mutex::new(NodeState::new(clock::now())),
             dropped: Mutex::default(),
         }
@@ -71,14 +71,14 @@
 }
 
 impl RunnerRegistry for NodeShared {
-    fn on_beat(&self, runner: KnownRunner) {
+    fn on_heartbeat(&self, runner: RegisteredRunner) {
         let instance = runner.status.instance.clone();
         let (sequence, draining) = (runner.sequence, runner.status.draining);
         let started_at = runner.started_at.map_or(String::new(), |at| at.to_string());
-        let effect = self.state().on_beat(runner);
+        let effect = self.state().on_heartbeat(runner);
         let event = match effect {
-            BeatEffect::News => "runner_changed",
-            BeatEffect::Dropped if self.is_first_dropped(&instance) => "heartbeat_dropped",
+            HeartbeatEffect::Changed => "runner_changed",
+            HeartbeatEffect::Dropped if self.is_first_dropped(&instance) => "heartbeat_dropped",
             _ => return,
         };
         log_event(
@@ -91,18 +91,18 @@
                 ("draining", &draining),
             ],
         );
-        if effect == BeatEffect::News {
+        if effect == HeartbeatEffect::Changed {
             self.news.notify_one();
             self.look.notify_one();
-            self.life_changed.notify_one();
+            self.instance_changed.notify_one();
         }
     }
 
-    fn on_leave(&self, runner: &str) {
+    fn on_deregister(&self, runner: &str) {
         log_event(log::Level::Info, "runner_left", &[("runner", &runner)]);
-        if self.state().on_leave(runner, clock::now()) {
+        if self.state().on_deregister(runner, clock::now()) {
             self.news.notify_one();
-            self.life_changed.notify_one();
+            self.instance_changed.notify_one();
         }
     }
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -42,8 +42,8 @@
 use crate::process::planning::shared::OwnedPlanner;
 use crate::process::planning::shared::PlannerShared;
 use crate::process::planning::table_feed::TableFeed;
-use crate::workflow::grant::predecessors_expired;
-use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::grant::predecessor_leases_expired_by;
+use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
 /// Time between two ticks, at which the planner handles what depends on the time.
@@ -78,7 +78,7 @@
     pub(super) heartbeat_due: Instant,
     pub(super) interference_due: Instant,
     /// Learned interference as last written.
-    pub(super) written_interference: LearnedEffects,
+    pub(super) written_interference: LearnedInterference,
     pub(super) load_log_due: Instant,
     /// Earliest time of the next placement search.
     next_plan_at: Instant,
@@ -103,7 +103,7 @@
             write: None,
             heartbeat_due: clock::now(),
             interference_due: clock::now() + INTERFERENCE_PERIOD,
-            written_interference: LearnedEffects::default(),
+            written_interference: LearnedInterference::default(),
             load_log_due: clock::now(),
             next_plan_at: clock::now(),
             has_changes: false,
@@ -159,7 +159,7 @@
     async fn load(&mut self) -> Result<RowVersion, String> {
         let answered_at = self.ownership.answered_at;
         let expired = if self.ownership.has_predecessor {
-            predecessors_expired(answered_at)
+            predecessor_leases_expired_by(answered_at)
         } else {
             answered_at
         };
@@ -174,8 +174,8 @@
             planner.on_record(&job, version, record);
         }
         planner.set_time(clock::now(), self.shared.clock.wall_millis());
-        if let Some(effects) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
-            planner.adopt_learned(decode(effects).unwrap_or_default());
+        if let Some(row) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
+            planner.restore_learned(decode(row).unwrap_or_default());
         }
         for row in &progress {
             if let Some(known) = decode(row) {
@@ -327,17 +327,17 @@
     /// Sends the planner's queries to the advice service. Each response is passed to the planner
     /// and wakes the loop.
     fn request_advice(&self) {
-        let questions = self.with_planner(Planner::take_questions).unwrap_or_default();
-        for question in questions {
+        let queries = self.with_planner(Planner::take_advice_queries).unwrap_or_default();
+        for query in queries {
             let shared = self.shared.clone();
             tokio::spawn(async move {
                 let asked_at = clock::now();
                 let answer = match &shared.advice {
-                    Some(service) => service.advise(&question).await,
+                    Some(service) => service.advise(&query).await,
                     None => None,
                 };
                 if answer.is_none() {
-                    let (job, _, step) = &question.step;
+                    let (job, _, step) = &query.step;
                     log_event(Level::Warn, "advice_failed", &[("job", job), ("step", step)]);
                     tokio::time::sleep(ADVICE_RETRY_DELAY).await;
                 }
@@ -356,7 +356,8 @@
             batches.entry(instance).or_default().push(order);
         }
         for (instance, orders) in batches {
-            let numbered = self.with_planner(|planner| planner.number_order(&instance, &orders));
+            let numbered =
+                self.with_planner(|planner| planner.assign_order_number(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
             };
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -82,7 +82,7 @@
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
             WritePurpose::RemoveExpired(jobs) => {
-                jobs.iter().for_each(|job| planner.on_forgotten(job))
+                jobs.iter().for_each(|job| planner.on_record_removed(job))
             }
             WritePurpose::Heartbeat => {}
         });
@@ -112,7 +112,7 @@
         }
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
-            WritePurpose::Batch(batch) => planner.on_refused(batch, newest),
+            WritePurpose::Batch(batch) => planner.on_conflict(batch, newest),
             WritePurpose::Heartbeat => {}
             // The row of an expired job has changed; its removal is retried with the new version.
             WritePurpose::RemoveExpired(_) => newest
--- a/standins/src/laboratory/shared_fleet.rs
+++ b/standins/src/laboratory/shared_fleet.rs
@@ -8,7 +8,7 @@
 use greengagearch::workflow::plan_decision::PlanDecision;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::progress::JobRecord;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::task_name::TaskName;
 use rand::RngExt;
@@ -31,7 +31,8 @@
 /// Time in which what serves comes to work before jobs that fill are offered.
 const LEAD: Duration = Duration::from_secs(8);
 /// Processors and memory of a worker; each third one has half as much more.
-const WORKER: RoomAmount = RoomAmount { millicores: 16_000, memory_mib: 64_000, accelerators: 0 };
+const WORKER: ResourceVector =
+    ResourceVector { millicores: 16_000, memory_mib: 64_000, accelerators: 0 };
 /// Wall clock at the beginning, in milliseconds: any time will do.
 const WALL_MS: u64 = 1_000_000;
 
@@ -164,14 +165,14 @@
         loop {
             let mut spec = serving_job(&mut self.rng);
             let step = &spec.steps[0];
-            taken += f64::from(step.count) * step.room.millicores as f64;
+            taken += f64::from(step.count) * step.resources.millicores as f64;
             if taken > room {
                 return;
             }
             let job = format!("serving{:03}", self.serving.len());
             let truth = RunTruth {
                 image: image_number(&step.image),
-                millicores: step.room.millicores,
+                millicores: step.resources.millicores,
                 work_ms: None,
                 load: Some(StepLoad::draw(&mut self.rng)),
             };
@@ -238,7 +239,7 @@
 
     fn deliver(&mut self) {
         for (instance, order) in self.planner.take_orders() {
-            let number = self.planner.number_order(&instance, std::slice::from_ref(&order));
+            let number = self.planner.assign_order_number(&instance, std::slice::from_ref(&order));
             let truth = match &order {
                 NodeOrder::Start(start) => self.truth(&start.traits.task),
                 _ => None,
@@ -262,7 +263,7 @@
             let work_ms = job.durations.get(task.step as usize)?.get(task.index as usize)?;
             return Some(RunTruth {
                 image: image_number(&step.image),
-                millicores: step.room.millicores,
+                millicores: step.resources.millicores,
                 work_ms: Some(*work_ms),
                 load: None,
             });
--- a/tests/linked_agent/mod.rs
+++ b/tests/linked_agent/mod.rs
@@ -12,36 +12,36 @@
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::node_protocol::TaskTraits;
-use greengagearch::external::runner_control::RunnerLists;
-use greengagearch::process::node::known_runner::KnownRunner;
+use greengagearch::external::runner_control::PollResponse;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 
 /// Span of a lease that outlasts what a test plays.
 pub const LONG_LEASE: Duration = Duration::from_secs(9);
 
 /// The runner beside the agent; its start time is not known.
-pub fn known_runner(millicores: u64, memory_mib: u64, sequence: u64) -> KnownRunner {
+pub fn registered_runner(millicores: u64, memory_mib: u64, sequence: u64) -> RegisteredRunner {
     let status = RunnerStatus {
         instance: "i-1".to_string(),
         service: "s".to_string(),
         domain: "d".to_string(),
-        capacity: RoomAmount { millicores, memory_mib, accelerators: 0 },
+        capacity: ResourceVector { millicores, memory_mib, accelerators: 0 },
         labels: Vec::new(),
         draining: false,
     };
     let (runner, address) = ("i-1".to_string(), "127.0.0.1:1".to_string());
-    KnownRunner { runner, status, address, sequence, started_at: None }
+    RegisteredRunner { runner, status, address, sequence, started_at: None }
 }
 
 /// Traits of a task that neither serves nor fills.
-pub fn plain_traits(task: &str, room: RoomAmount) -> TaskTraits {
+pub fn plain_traits(task: &str, resources: ResourceVector) -> TaskTraits {
     TaskTraits {
         task: task.parse().unwrap(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
-        room,
+        best_effort: false,
+        resources,
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
@@ -53,7 +53,7 @@
     StartOrder { run: 1, payload, checkpoint, ticket: None, traits, is_repeat }
 }
 
-/// A planner's call that grants a lease to the runner of [`known_runner`].
+/// A planner's call that grants a lease to the runner of [`registered_runner`].
 pub fn lease_call(stamp: LinkStamp, span: Duration) -> SyncCall {
     SyncCall {
         stamp,
@@ -71,7 +71,7 @@
 
 /// A look at the runner that shows these runs at `clock`; the planner is not told of it yet.
 pub fn look_at(state: &mut NodeState, running: Vec<PresentRun>, clock: u64, now: Instant) {
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    let lists = RunnerLists { clock, running, ended: Vec::new() };
-    state.on_lists(number, lists, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    let lists = PollResponse { clock, running, ended: Vec::new() };
+    state.on_poll_response(number, lists, now);
 }
--- a/tests/node_state.rs
+++ b/tests/node_state.rs
@@ -12,44 +12,44 @@
 use greengagearch::connection::node_protocol::StartOrder;
 use greengagearch::connection::node_protocol::SyncCall;
 use greengagearch::connection::node_protocol::TaskTraits;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerLists;
-use greengagearch::process::node::fence::fencing_token;
-use greengagearch::process::node::known_runner::BeatEffect;
-use greengagearch::process::node::known_runner::KnownRunner;
+use greengagearch::process::node::fencing_token::fencing_token;
+use greengagearch::process::node::registered_runner::HeartbeatEffect;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::spec::ResourceVector;
+use greengagearch::workflow::worker_inventory::RunKey;
 
 const STAMP: LinkStamp = LinkStamp { epoch: 3, link: 1 };
 
-fn runner(instance: &str, sequence: u64) -> KnownRunner {
+fn runner(instance: &str, sequence: u64) -> RegisteredRunner {
     let status = RunnerStatus {
         instance: instance.to_string(),
         service: "s".to_string(),
         domain: "d".to_string(),
-        capacity: RoomAmount { millicores: 1_000, memory_mib: 1_000, accelerators: 0 },
+        capacity: ResourceVector { millicores: 1_000, memory_mib: 1_000, accelerators: 0 },
         labels: Vec::new(),
         draining: false,
     };
     let address = "127.0.0.1:1".to_string();
-    KnownRunner { runner: instance.to_string(), status, address, sequence, started_at: None }
+    RegisteredRunner { runner: instance.to_string(), status, address, sequence, started_at: None }
 }
 
 /// A life of the runner `i-1`, which is back under its id after each crash.
-fn life(started_at: u64, sequence: u64) -> KnownRunner {
+fn life(started_at: u64, sequence: u64) -> RegisteredRunner {
     let known = runner(&format!("i-1@{started_at}"), sequence);
-    KnownRunner { runner: "i-1".to_string(), started_at: Some(started_at), ..known }
+    RegisteredRunner { runner: "i-1".to_string(), started_at: Some(started_at), ..known }
 }
 
-fn lists(clock: u64) -> RunnerLists {
-    RunnerLists { clock, running: Vec::new(), ended: Vec::new() }
+fn lists(clock: u64) -> PollResponse {
+    PollResponse { clock, running: Vec::new(), ended: Vec::new() }
 }
 
 fn linked(now: Instant) -> NodeState {
     let mut state = NodeState::new(now);
-    state.on_beat(runner("i-1", 1));
+    state.on_heartbeat(runner("i-1", 1));
     state.admit(STAMP).unwrap();
     state
 }
@@ -75,8 +75,8 @@
         task: key.0.clone(),
         image: String::new(),
         target_ms: 0,
-        fills: false,
-        room: RoomAmount { millicores: 400, memory_mib: 100, accelerators: 0 },
+        best_effort: false,
+        resources: ResourceVector { millicores: 400, memory_mib: 100, accelerators: 0 },
         effects: Vec::new(),
         idle_tail_ms: 0,
     }
@@ -95,25 +95,25 @@
 
 /// A look that shows nothing, and a lease of nine seconds from the start of the agent.
 fn lease(state: &mut NodeState, now: Instant) {
-    let instance = state.present_life().unwrap().clone();
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let instance = state.current_instance().unwrap().clone();
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     state.report(now);
     state.on_sync(&grant(&instance, 0, 0));
 }
 
 /// A try to start a run leaves.
 fn send(state: &mut NodeState, key: &RunKey, now: Instant) {
-    state.begin_start(&order(key), now);
+    state.accept_start(&order(key), now);
     let target = state.target().unwrap();
-    let sent = state.begin_try(&target, key, &RoomAmount::default(), now);
+    let sent = state.begin_attempt(&target, key, &ResourceVector::default(), now);
     assert!(sent.is_some(), "nothing speaks against the start");
 }
 
 /// The last try has an answer, or will have none.
 fn answer(state: &mut NodeState, key: &RunKey, answer: Result<(), RunnerError>, now: Instant) {
     let target = state.target().unwrap();
-    state.on_start_answer(&target, key, &answer, now);
+    state.on_start_response(&target, key, &answer, now);
 }
 
 fn silence() -> Result<(), RunnerError> {
@@ -126,17 +126,17 @@
 fn orders_that_overtake_others_do_not_count_as_seen() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.begin_start(&order(&key("a.0.0.1")), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.accept_start(&order(&key("a.0.0.1")), now);
     state.on_orders(1, 2);
-    state.on_lists(number, lists(0), now);
-    assert_eq!(state.report(now).look.unwrap().orders_seen, 0);
+    state.on_poll_response(number, lists(0), now);
+    assert_eq!(state.report(now).snapshot.unwrap().orders_seen, 0);
 
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.begin_start(&order(&key("a.0.0.0")), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.accept_start(&order(&key("a.0.0.0")), now);
     state.on_orders(0, 1);
-    state.on_lists(number, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    state.on_poll_response(number, lists(0), now);
+    let look = state.report(now).snapshot.unwrap();
     assert_eq!(look.orders_seen, 2);
     assert_eq!(look.present.len(), 2);
 }
@@ -147,33 +147,33 @@
     let mut state = linked(now);
     lease(&mut state, now);
     let key = key("a.0.0.0");
-    let (early, _) = state.next_hold(Duration::ZERO, now);
+    let (early, _) = state.next_poll(Duration::ZERO, now);
     send(&mut state, &key, now);
     answer(&mut state, &key, Ok(()), now);
-    state.on_lists(early, lists(0), now);
-    assert_eq!(state.report(now).look.unwrap().present.len(), 1);
+    state.on_poll_response(early, lists(0), now);
+    assert_eq!(state.report(now).snapshot.unwrap().present.len(), 1);
 
-    let (late, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(late, lists(0), now);
-    assert!(state.report(now).look.unwrap().present.is_empty());
+    let (late, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(late, lists(0), now);
+    assert!(state.report(now).snapshot.unwrap().present.is_empty());
 }
 
 #[test]
 fn a_heartbeat_that_was_held_up_does_not_replace_the_present_life() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-0", 9));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    state.on_heartbeat(runner("i-0", 9));
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
-    assert_eq!(state.on_beat(runner("i-0", 10)), BeatEffect::Dropped);
+    assert_eq!(state.on_heartbeat(runner("i-0", 10)), HeartbeatEffect::Dropped);
 }
 
 #[test]
 fn a_new_life_takes_over_when_it_answers_in_place_of_the_known_one() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-2", 1));
+    state.on_heartbeat(runner("i-2", 1));
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.target().unwrap().instance, "i-2");
     assert_eq!(state.report(now).former, ["i-1"]);
@@ -183,13 +183,13 @@
 fn a_new_life_takes_over_when_the_known_one_is_silent_beyond_its_leases() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
-    state.next_hold(Duration::ZERO, now);
-    state.on_beat(runner("i-2", 1));
-    assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
-    assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
+    state.next_poll(Duration::ZERO, now);
+    state.on_heartbeat(runner("i-2", 1));
+    assert!(!state.on_no_response(false, now + Duration::from_secs(9)));
+    assert!(state.on_no_response(false, now + Duration::from_secs(10)));
     assert_eq!(state.target().unwrap().instance, "i-2");
     assert_eq!(state.report(now).former, ["i-1"]);
 }
@@ -207,8 +207,8 @@
 fn a_grant_that_comes_late_extends_nothing() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
     assert_eq!(state.lease_end(), Some(9_500));
     assert_eq!(state.may_start(now), Some(true));
@@ -219,8 +219,8 @@
 fn a_grant_for_an_earlier_life_extends_nothing() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-0", 0, 7));
     assert_eq!(state.lease_end(), None);
 }
@@ -230,15 +230,15 @@
 fn a_silent_life_is_given_up_when_its_leases_have_surely_expired() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(500), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
     state.on_sync(&grant("i-1", 0, 0));
-    assert!(state.next_hold(Duration::ZERO, now).1.lease_end.is_some());
+    assert!(state.next_poll(Duration::ZERO, now).1.lease_end.is_some());
     let later = now + Duration::from_secs(3);
     state.on_sync(&grant("i-1", 3, 0));
-    assert_eq!(state.next_hold(Duration::ZERO, later).1.lease_end, None);
-    assert!(!state.on_no_answer(false, now + Duration::from_secs(9)));
-    assert!(state.on_no_answer(false, now + Duration::from_secs(10)));
+    assert_eq!(state.next_poll(Duration::ZERO, later).1.lease_end, None);
+    assert!(!state.on_no_response(false, now + Duration::from_secs(9)));
+    assert!(state.on_no_response(false, now + Duration::from_secs(10)));
     assert!(state.target().is_none());
 }
 
@@ -251,16 +251,16 @@
     lease(&mut state, now);
     let key = key("a.0.0.0");
     send(&mut state, &key, now);
-    let (early, _) = state.next_hold(Duration::ZERO, now);
+    let (early, _) = state.next_poll(Duration::ZERO, now);
     answer(&mut state, &key, Err(RunnerError::Rejected { reason: RejectReason::Old }), now);
-    state.on_lists(early, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    state.on_poll_response(early, lists(0), now);
+    let look = state.report(now).snapshot.unwrap();
     assert!(look.rejected.is_empty());
     assert_eq!(look.present.len(), 1, "until then the run may be there");
 
-    let (late, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(late, lists(0), now);
-    let look = state.report(now).look.unwrap();
+    let (late, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(late, lists(0), now);
+    let look = state.report(now).snapshot.unwrap();
     assert_eq!(look.rejected.len(), 1);
     assert!(look.present.is_empty());
 }
@@ -272,23 +272,23 @@
     let now = Instant::now();
     let mut state = linked(now);
     let (started, stopped) = (key("a.0.0.0"), key("a.0.0.1"));
-    state.begin_start(&order(&started), now);
-    assert!(state.begin_stop(&stopped));
-    let (before, _) = state.next_hold(Duration::ZERO, now);
+    state.accept_start(&order(&started), now);
+    assert!(state.accept_stop(&stopped));
+    let (before, _) = state.next_poll(Duration::ZERO, now);
     state.admit(LinkStamp { epoch: STAMP.epoch, link: 2 }).unwrap();
-    assert!(!state.begin_stop(&stopped), "a new link of the same planner changes nothing");
+    assert!(!state.accept_stop(&stopped), "a new link of the same planner changes nothing");
 
     state.admit(LinkStamp { epoch: STAMP.epoch + 1, link: 1 }).unwrap();
-    assert!(state.begin_stop(&stopped));
-    state.on_lists(before, lists(1), now);
+    assert!(state.accept_stop(&stopped));
+    state.on_poll_response(before, lists(1), now);
     assert_eq!(present(&mut state, now), 1, "a look from before the change cannot tell");
-    let (after, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(after, lists(2), now);
+    let (after, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(after, lists(2), now);
     assert_eq!(present(&mut state, now), 0);
 }
 
 fn present(state: &mut NodeState, now: Instant) -> usize {
-    state.report(now).look.map_or(0, |look| look.present.len())
+    state.report(now).snapshot.map_or(0, |look| look.present.len())
 }
 
 /// After a loss of power agent and runner are new, and only the store knows what the host ran before.
@@ -296,10 +296,10 @@
 fn lives_before_the_present_one_are_over_when_that_one_has_answered() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string()]);
+    state.on_earlier_instances(vec!["i-0".to_string(), "i-1".to_string()]);
     assert!(state.report(now).former.is_empty(), "a heartbeat alone may be an old one");
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    assert!(state.on_lists(number, lists(0), now), "the planner waits for this");
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    assert!(state.on_poll_response(number, lists(0), now), "the planner waits for this");
     assert_eq!(state.report(now).former, ["i-0"]);
 }
 
@@ -307,11 +307,11 @@
 fn a_later_life_that_the_store_names_is_not_over_while_an_old_heartbeat_stands_for_the_runner() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_earlier_lives(vec!["i-1".to_string(), "i-2".to_string()]);
-    state.on_leave("i-1", now);
-    state.on_beat(runner("i-2", 1));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    state.on_earlier_instances(vec!["i-1".to_string(), "i-2".to_string()]);
+    state.on_deregister("i-1", now);
+    state.on_heartbeat(runner("i-2", 1));
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).former, ["i-1"]);
     assert_eq!(state.target().unwrap().instance, "i-2");
 }
@@ -326,12 +326,12 @@
     let (old, answered, unanswered) = (key("a.0.0.0"), key("a.0.0.1"), key("a.0.0.2"));
     send(&mut state, &old, now);
     answer(&mut state, &old, Ok(()), now);
-    let (number, _) = state.next_hold(Duration::ZERO, at(1_800));
-    state.on_lists(number, lists(0), at(1_800));
+    let (number, _) = state.next_poll(Duration::ZERO, at(1_800));
+    state.on_poll_response(number, lists(0), at(1_800));
     send(&mut state, &answered, at(1_900));
     answer(&mut state, &answered, Ok(()), at(1_900));
     send(&mut state, &unanswered, at(1_950));
-    state.on_no_answer(false, at(1_960));
+    state.on_no_response(false, at(1_960));
     answer(&mut state, &unanswered, silence(), at(1_960));
     // The next try finds nobody; the first one may have begun.
     send(&mut state, &unanswered, at(1_990));
@@ -354,7 +354,7 @@
     let mut state = linked(now);
     let mut leaving = runner("i-1", 2);
     leaving.status.draining = true;
-    state.on_beat(leaving);
+    state.on_heartbeat(leaving);
     assert!(state.on_crash("i-1", now));
     assert!(state.report(now).crashes.is_empty());
 }
@@ -366,9 +366,9 @@
     let now = Instant::now();
     let mut state = linked(now);
     state.on_crash("i-1", now);
-    assert!(state.has_news());
+    assert!(state.has_changes());
     assert_eq!(state.report(now).former, ["i-1"]);
-    assert!(!state.has_news());
+    assert!(!state.has_changes());
 }
 
 /// Guards against a runner that is out of the fleet for good after a crash: the next life under its id counts its heartbeats from
@@ -378,11 +378,11 @@
     for start in [300, 100] {
         let now = Instant::now();
         let mut state = NodeState::new(now);
-        state.on_beat(life(200, 40));
+        state.on_heartbeat(life(200, 40));
         state.admit(STAMP).unwrap();
         assert!(state.on_crash("i-1@200", now));
-        assert_eq!(state.on_beat(life(200, 41)), BeatEffect::Dropped);
-        assert_eq!(state.on_beat(life(start, 1)), BeatEffect::News);
+        assert_eq!(state.on_heartbeat(life(200, 41)), HeartbeatEffect::Dropped);
+        assert_eq!(state.on_heartbeat(life(start, 1)), HeartbeatEffect::Changed);
         let report = state.report(now);
         assert_eq!(report.runner.unwrap().instance, format!("i-1@{start}"));
         assert_eq!(report.former, ["i-1@200"]);
@@ -394,12 +394,12 @@
 fn a_leave_that_a_former_life_sent_ends_nothing_while_the_present_one_answers() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
-    assert!(!state.on_leave("i-1", now));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
-    assert_eq!(state.present_life().map(String::as_str), Some("i-1@200"));
+    assert!(!state.on_deregister("i-1", now));
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
+    assert_eq!(state.current_instance().map(String::as_str), Some("i-1@200"));
     state.on_crash("i-1@200", now);
     assert_eq!(state.report(now).crashes.len(), 1, "it went on, so that this was not its leave");
 }
@@ -409,8 +409,8 @@
 fn a_runner_that_ends_as_it_said_has_not_broken_off() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
-    state.on_leave("i-1", now);
+    state.on_heartbeat(life(200, 1));
+    state.on_deregister("i-1", now);
     assert!(state.on_crash("i-1@200", now));
     assert!(state.report(now).crashes.is_empty());
 }
@@ -420,11 +420,11 @@
 fn a_life_that_was_stored_by_its_id_alone_may_be_the_present_one() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_earlier_lives(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
-    state.on_beat(life(200, 1));
+    state.on_earlier_instances(vec!["i-0".to_string(), "i-1".to_string(), "i-1@100".to_string()]);
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.report(now).former, ["i-0", "i-1@100"]);
 }
 
@@ -433,30 +433,30 @@
 fn starts_that_the_next_life_may_carry_out_are_told_until_it_shows_what_it_runs() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let (shown, silent) = (key("a.0.0.0"), key("a.0.0.1"));
     lease(&mut state, now);
     send(&mut state, &shown, now);
     answer(&mut state, &shown, Ok(()), now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     send(&mut state, &silent, now);
     answer(&mut state, &silent, silence(), now);
     state.on_crash("i-1@200", now);
     assert_eq!(state.report(now).unsettled, std::slice::from_ref(&silent));
-    state.on_beat(life(300, 1));
+    state.on_heartbeat(life(300, 1));
     assert_eq!(
         state.report(now).unsettled,
         std::slice::from_ref(&silent),
         "a heartbeat alone shows nothing"
     );
-    let (number, _) = state.next_hold(Duration::ZERO, now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
     let begun = PresentRun { is_begun: true, ..PresentRun::ordered(silent.0.clone(), silent.1) };
-    state.on_lists(number, RunnerLists { running: vec![begun], ..lists(0) }, now);
+    state.on_poll_response(number, PollResponse { running: vec![begun], ..lists(0) }, now);
     assert_eq!(state.report(now).unsettled, [silent], "until the planner has seen where it is");
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert!(state.report(now).unsettled.is_empty());
 }
 
@@ -465,7 +465,7 @@
 fn an_agent_that_stood_still_waits_for_the_next_life_all_the_same() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     lease(&mut state, now);
     let silent = key("a.0.0.0");
@@ -473,7 +473,7 @@
     state.on_crash("i-1@200", now);
     let later = now + Duration::from_secs(6);
     assert_eq!(state.report(later).unsettled, [silent]);
-    state.on_awaited_answer(&Err(RunnerError::NotRunning), later);
+    state.on_successor_response(&Err(RunnerError::NotRunning), later);
     assert!(state.report(later).unsettled.is_empty());
 }
 
@@ -483,7 +483,7 @@
 fn a_look_after_one_that_failed_changes_nothing_at_the_runner() {
     let now = Instant::now();
     let mut state = NodeState::new(now);
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let end = EndedRun {
         number: 4,
@@ -492,18 +492,18 @@
         end: RunEnd::Done,
         checkpoint: String::new(),
     };
-    let ended = || RunnerLists { ended: vec![end.clone()], ..lists(500) };
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, ended(), now);
+    let ended = || PollResponse { ended: vec![end.clone()], ..lists(500) };
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, ended(), now);
     state.on_sync(&grant("i-1@200", 0, 4));
-    let (number, hold) = state.next_hold(Duration::ZERO, now);
+    let (number, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (4, Some(9_500)));
-    state.on_no_answer(true, now);
+    state.on_no_response(true, now);
     assert_eq!(state.may_start(now), Some(false));
-    let (_, hold) = state.next_hold(Duration::ZERO, now);
+    let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (0, None));
-    state.on_lists(number, lists(500), now);
-    let (_, hold) = state.next_hold(Duration::ZERO, now);
+    state.on_poll_response(number, lists(500), now);
+    let (_, hold) = state.next_poll(Duration::ZERO, now);
     assert_eq!((hold.seen, hold.lease_end), (0, Some(9_500)), "nothing is left to acknowledge");
 }
 
@@ -512,7 +512,7 @@
 #[test]
 fn a_token_of_a_life_that_started_later_is_overtaken_and_one_of_a_later_planner_is_not() {
     let mut state = NodeState::new(Instant::now());
-    state.on_beat(life(200, 1));
+    state.on_heartbeat(life(200, 1));
     state.admit(STAMP).unwrap();
     let later_life = fencing_token(STAMP.epoch, Some(2_000_000), 0);
     let later_planner = fencing_token(STAMP.epoch + 1, Some(0), 0);
@@ -529,10 +529,10 @@
 fn a_late_heartbeat_and_a_lost_answer_do_not_end_a_living_runner() {
     let now = Instant::now();
     let mut state = linked(now);
-    state.on_beat(runner("i-0", 9));
-    assert!(!state.on_no_answer(false, now));
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_lists(number, lists(0), now);
+    state.on_heartbeat(runner("i-0", 9));
+    assert!(!state.on_no_response(false, now));
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_poll_response(number, lists(0), now);
     assert_eq!(state.target().unwrap().instance, "i-1");
     assert_eq!(state.report(now).former, ["i-0"]);
 }
@@ -543,9 +543,9 @@
 fn an_answer_to_an_earlier_look_does_not_make_a_heartbeat_late() {
     let now = Instant::now();
     let mut state = linked(now);
-    let (number, _) = state.next_hold(Duration::ZERO, now);
-    state.on_beat(runner("i-2", 1));
-    state.on_lists(number, lists(0), now);
+    let (number, _) = state.next_poll(Duration::ZERO, now);
+    state.on_heartbeat(runner("i-2", 1));
+    state.on_poll_response(number, lists(0), now);
     assert!(state.on_crash("i-1", now));
     assert_eq!(state.target().unwrap().instance, "i-2");
 }
--- a/tests/planning_world/agents.rs
+++ b/tests/planning_world/agents.rs
@@ -43,14 +43,14 @@
             }
             Event::NoAnswer { run, target, order, is_broken, .. } => {
                 if self.agents[agent].run == run {
-                    self.on_no_answer(agent, target, order, is_broken);
+                    self.on_no_response(agent, target, order, is_broken);
                 }
             }
-            _ => self.on_beat(agent),
+            _ => self.on_heartbeat(agent),
         }
     }
 
-    fn on_beat(&mut self, agent: usize) {
+    fn on_heartbeat(&mut self, agent: usize) {
         let (instance, runner) = (self.agents[agent].life.name.clone(), self.told_id(agent));
         let started_at = self.has_same_ids.then_some(self.agents[agent].lives * START_DISTANCE);
         let one = &mut self.agents[agent];
@@ -62,12 +62,18 @@
             instance,
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 2_000, memory_mib: 4_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 2_000, memory_mib: 4_000, accelerators: 0 },
             labels: vec!["a".to_string(), format!("r{agent}")],
             draining: false,
         };
         let address = "127.0.0.1:1".to_string();
-        one.state.on_beat(KnownRunner { runner, status, address, sequence: one.beats, started_at });
+        one.state.on_heartbeat(RegisteredRunner {
+            runner,
+            status,
+            address,
+            sequence: one.beats,
+            started_at,
+        });
         self.at(500, Event::Beat { agent });
     }
 
@@ -115,15 +121,15 @@
         {
             match order {
                 NodeOrder::Start(start) => {
-                    if one.state.begin_start(start, now) {
+                    if one.state.accept_start(start, now) {
                         let key = (start.traits.task.clone(), start.run);
-                        let tried = StartTry { key, room: start.traits.room };
+                        let tried = StartTry { key, room: start.traits.resources };
                         next.push(Event::Try { agent, run, target: target.clone(), tried });
                     }
                 }
                 NodeOrder::Stop(task, number) => {
                     let key = (task.clone(), *number);
-                    if one.state.begin_stop(&key) {
+                    if one.state.accept_stop(&key) {
                         let queued = QueuedOrder::Stop(key);
                         next.push(Event::Slot { agent, run, target: target.clone(), queued });
                     }
@@ -152,13 +158,13 @@
             return;
         }
         let Some(target) = one.state.target() else {
-            let Some(target) = one.state.awaited_target() else {
+            let Some(target) = one.state.successor_target() else {
                 return self.at(50, Event::Look { agent, run });
             };
             let order = Order::Hold { number: 0, lease_end: None, seen: 0, wait: 0 };
             return self.at(1, call_of(agent, run, &target, order));
         };
-        let (number, hold) = one.state.next_hold(Duration::from_millis(250), now);
+        let (number, hold) = one.state.next_poll(Duration::from_millis(250), now);
         let wait = hold.wait.as_millis() as u64;
         let order = Order::Hold { number, lease_end: hold.lease_end, seen: hold.seen, wait };
         self.at(1, call_of(agent, run, &target, order));
@@ -253,7 +259,7 @@
     ) {
         let now = self.agent_instant(agent);
         let one = &mut self.agents[agent];
-        let is_target = one.state.is_target(&target);
+        let is_current_target = one.state.is_current_target(&target);
         match (order, answer) {
             (Order::Hold { number: 0, .. }, answer) => {
                 // Where a life listens, it answers, be it the one that is meant or another.
@@ -262,26 +268,26 @@
                     _ if one.life.is_alive => Err(RunnerError::OtherLife),
                     _ => Err(RunnerError::NotRunning),
                 };
-                one.state.on_awaited_answer(&told, now);
+                one.state.on_successor_response(&told, now);
                 let run = self.agents[agent].run;
                 self.at(60, Event::Look { agent, run });
             }
             (Order::Hold { number, .. }, answer) => {
                 let pause = match answer {
-                    CallAnswer::Lists(Some(lists)) if is_target => {
-                        one.state.on_lists(number, lists, now);
+                    CallAnswer::Lists(Some(lists)) if is_current_target => {
+                        one.state.on_poll_response(number, lists, now);
                         if self.has_same_ids { 1 } else { 250 }
                     }
-                    CallAnswer::Lists(None) if is_target => {
+                    CallAnswer::Lists(None) if is_current_target => {
                         one.state.on_fenced();
                         60
                     }
-                    CallAnswer::OtherLife | CallAnswer::NotRunning if is_target => {
+                    CallAnswer::OtherLife | CallAnswer::NotRunning if is_current_target => {
                         one.state.on_crash(&target.instance, now);
                         60
                     }
-                    CallAnswer::Order(RunnerAnswer::Unwell) if is_target => {
-                        one.state.on_refused_look(now);
+                    CallAnswer::Order(RunnerAnswer::Unwell) if is_current_target => {
+                        one.state.on_rejected_poll(now);
                         60
                     }
                     _ => 60,
@@ -293,15 +299,21 @@
         }
     }
 
-    fn on_no_answer(&mut self, agent: usize, target: RunnerTarget, order: Order, is_broken: bool) {
+    fn on_no_response(
+        &mut self,
+        agent: usize,
+        target: RunnerTarget,
+        order: Order,
+        is_broken: bool,
+    ) {
         let now = self.agent_instant(agent);
         let one = &mut self.agents[agent];
         let run = one.run;
-        let is_target = one.state.is_target(&target);
+        let is_current_target = one.state.is_current_target(&target);
         match order {
             Order::Hold { .. } => {
-                if is_target {
-                    one.state.on_no_answer(is_broken, now);
+                if is_current_target {
+                    one.state.on_no_response(is_broken, now);
                 }
                 self.at(60, Event::Look { agent, run });
             }
