--- a/src/process/planning/mod.rs
+++ b/src/process/planning/mod.rs
@@ -1,9 +1,12 @@
-//! The planner process: takes callers' jobs; one of these processes plans for all.
+//! The planner process.
+//!
+//! Several of these processes run at the same time. Each accepts jobs from callers and stores them;
+//! the one that holds the ownership of planning assigns the tasks of all jobs to workers.
 
 pub mod commit_writer;
 pub mod decision_log;
-pub mod job_desk;
 pub mod job_http;
+pub mod job_service;
 pub mod node_link;
 pub mod ownership;
 pub mod peer_watch;
@@ -36,44 +39,44 @@
 use crate::process::http_server::spawn_http_server;
 use crate::process::logging::log_event;
 use crate::process::metrics::serve_metrics;
-use crate::process::planning::job_desk::JobDesk;
+use crate::process::planning::job_service::JobService;
 use crate::process::planning::ownership::OwnershipElector;
 use crate::process::planning::settings::PlannerSettings;
 use crate::process::planning::shared::PlannerShared;
 use crate::process::stop_signal::StopSignal;
 use crate::process::stop_signal::StopSwitch;
 
-/// Time between the fall of readiness and the close of connections: two looks of the balancer, one
-/// a second, and some.
-const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
+/// Time between the first negative readiness response and the closing of caller connections. The
+/// load balancer polls readiness once a second; this covers two polls and their latency.
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2_300);
 
 /// The addresses on which a planner process listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannerAddresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For jobs by the product's own interface, if it is offered.
+    /// Listener of the job interface, if it is configured.
     pub jobs: Option<SocketAddr>,
-    /// For the balancer's question whether the process is ready.
+    /// Listener for the load balancer's readiness polls.
     pub ready: SocketAddr,
-    /// For other processes of the system.
+    /// Listener for other processes of the system.
     pub internal: SocketAddr,
 }
 
 /// A running planner process.
 #[derive(Debug)]
 pub struct PlannerProcess {
-    /// Where it listens.
+    /// Addresses of its listeners, with the port numbers that were assigned.
     pub addresses: PlannerAddresses,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl PlannerProcess {
-    /// Listens on all addresses and starts.
+    /// Binds all listeners and starts the process's tasks.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`].
+    /// [`Error::Listen`] if an address cannot be bound.
     pub async fn bind(
         mut settings: PlannerSettings,
         store: Arc<dyn RowStore>,
@@ -102,26 +105,28 @@
         queue_watch::spawn_queue_watch(shared.clone());
         peer_watch::spawn_peer_watch(shared.clone());
         planner_client::spawn_planner_rpc(internal, shared.clone());
-        let gate: Arc<dyn JobGate> = Arc::new(JobDesk::open(shared.clone()));
-        let (close, closed) = StopSwitch::new();
+        let gate: Arc<dyn JobGate> = Arc::new(JobService::open(shared.clone()));
+        let (caller_switch, caller_stop) = StopSwitch::new();
         let limits = HttpLimits::default();
         let router = caller_gate::router(gate.clone());
         if let Some(jobs) = jobs {
-            spawn_http_server(jobs, job_http::router(gate.clone()), limits, closed.clone());
+            spawn_http_server(jobs, job_http::router(gate.clone()), limits, caller_stop.clone());
         }
-        let server = spawn_http_server(callers, router, limits, closed);
-        // It answers until the process ends, so that the balancer learns of the stop.
-        let (kept, never) = StopSwitch::new();
-        spawn_http_server(ready, caller_gate::ready_router(gate), limits, never);
+        let server = spawn_http_server(callers, router, limits, caller_stop);
+        // The readiness listener runs until the process ends, so that the load balancer gets a
+        // negative response while the process drains.
+        let (ready_switch, ready_stop) = StopSwitch::new();
+        spawn_http_server(ready, caller_gate::ready_router(gate), limits, ready_stop);
         let elector = OwnershipElector::spawn(shared.clone());
-        let running = tokio::spawn(async move {
+        let task = tokio::spawn(async move {
             stop.raised().await;
             log_event(Level::Info, "stopping", &[("id", &shared.settings.id)]);
             shared.set_stopping();
             let drain = async {
-                tokio::time::sleep(READINESS_NOTICE).await;
-                close.stop();
-                // The server's task ends when its last connection has; a panic has been printed.
+                tokio::time::sleep(READINESS_PROPAGATION_TIME).await;
+                caller_switch.stop();
+                // The server's task ends with its last connection. The runtime prints a panic of a
+                // task, so the join error is dropped.
                 let _ = server.await;
                 let _ = elector.await;
             };
@@ -129,14 +134,14 @@
                 log_event(Level::Error, "drain_limit_passed", &[("id", &shared.settings.id)]);
             }
             log_event(Level::Info, "stopped", &[("id", &shared.settings.id)]);
-            drop(kept);
+            drop(ready_switch);
         });
-        Ok(PlannerProcess { addresses, running })
+        Ok(PlannerProcess { addresses, task })
     }
 
-    /// Waits until the process has stopped.
+    /// Waits until the process has drained and stopped.
     pub async fn stopped(self) {
-        // A panic of the task has been printed by then.
-        let _ = self.running.await;
+        // The runtime has printed a panic of the task, so the join error is dropped.
+        let _ = self.task.await;
     }
 }
--- a/src/process/planning/ownership.rs
+++ b/src/process/planning/ownership.rs
@@ -1,8 +1,8 @@
-//! Ownership of planning: one process at a time, by a row of the store.
+//! Ownership of planning: one process at a time, recorded in a row of the store.
 //!
-//! Every write of the planner is bound to the version of the owner's row, and every order carries its
-//! epoch; so two processes that both believe to own planning do no harm. The pulse only tells when to
-//! take over.
+//! Every write of the planner is conditional on the version of the owner's row, and every order
+//! carries the owner's epoch. Two processes that both consider themselves the owner therefore do no
+//! harm. The heartbeat is only used to decide when to take over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,35 +28,36 @@
 use crate::process::planning::rows::owner_row;
 use crate::process::planning::shared::PlannerShared;
 
-/// Silence of the pulse, which comes every 0.4 s, after which another process takes over: longer than
-/// one pulse takes at a store that is sixty times slower than usual.
-const TAKEOVER_AFTER: Duration = Duration::from_millis(1_400);
-/// Added for a process without any share of a core, in proportion less for others, so that the one with
-/// the most processor time comes first.
+/// Time without a heartbeat after which another process takes over. Heartbeats are written every
+/// 0.4 s; the timeout also covers one heartbeat at a store that is sixty times slower than usual.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// Additional delay of a process with no share of a core, proportionally less for a larger share,
+/// so that the process with the most processor time takes over first.
 const SHARE_STAGGER: Duration = Duration::from_millis(400);
-/// The same after a planner has given the ownership back: hosts with half a core come 60 ms before those with
-/// an eighth, more than the news and the write take.
+/// Additional delay, scaled like [`SHARE_STAGGER`], after the owner has released the ownership. A
+/// host with half a core takes over 60 ms before one with an eighth, which is longer than the
+/// notification and the write take.
 const RELEASE_STAGGER: Duration = Duration::from_millis(150);
-/// Longest wait for news in one call.
-const FEED_WAIT: Duration = Duration::from_millis(1_200);
+/// Maximum time that one feed call waits for changes.
+const FEED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// An ownership that the store has confirmed.
+/// An ownership of planning that the store has confirmed.
 #[derive(Clone, Debug)]
-pub struct OwnerProof {
-    /// The row.
+pub struct ConfirmedOwnership {
+    /// The owner's row.
     pub owner: OwnerRow,
-    /// Its version, which binds the planner's writes.
+    /// Version of the row, on which the planner's writes are conditional.
     pub version: RowVersion,
-    /// When the call was sent that showed it.
-    pub sent: Instant,
-    /// When it was answered.
-    pub answered: Instant,
-    /// Whether there was a planner before.
+    /// When the call that took the ownership was sent.
+    pub sent_at: Instant,
+    /// When that call was answered.
+    pub answered_at: Instant,
+    /// Whether there was an earlier owner, whose leases may still be valid.
     pub has_predecessor: bool,
 }
 
-/// How long after the last change of the ownership or its pulse a process at an address, with a share of a
-/// core, may take it.
+/// Time after the last change of the owner's row or heartbeat at which a process may take over
+/// planning. `own_address` is the address of that process, `share` its share of a core.
 ///
 /// ```
 /// use std::time::Duration;
@@ -66,35 +67,39 @@
 /// assert_eq!(takeover_delay(None, "10.0.0.1:7000", 0.5), Duration::ZERO);
 /// ```
 pub fn takeover_delay(owner: Option<&OwnerRow>, own_address: &str, share: f64) -> Duration {
-    // Of processes at one address only the newest lives; so a row that names this one is of its past.
+    // At most one process runs at an address, so a row with this address was written by an earlier
+    // run that has ended.
     let Some(owner) = owner.filter(|owner| owner.address != own_address) else {
         return Duration::ZERO;
     };
-    let lack = 1.0 - share.clamp(0.0, 1.0);
+    let missing_share = 1.0 - share.clamp(0.0, 1.0);
     if owner.released {
-        RELEASE_STAGGER.mul_f64(lack)
+        RELEASE_STAGGER.mul_f64(missing_share)
     } else {
-        TAKEOVER_AFTER + SHARE_STAGGER.mul_f64(lack)
+        TAKEOVER_TIMEOUT + SHARE_STAGGER.mul_f64(missing_share)
     }
 }
 
-/// Watches the ownership, and takes it when nobody has it.
+/// Watches the owner's row and heartbeat, and takes over planning when the owner has released it or
+/// is silent.
 pub struct OwnershipElector {
     shared: Arc<PlannerShared>,
     owner: Option<(OwnerRow, RowVersion)>,
-    changed: Instant,
-    after: Option<RowVersion>,
+    /// When the owner's row or heartbeat last changed, or reading them last failed.
+    changed_at: Instant,
+    /// Version of the store up to which changes have been read.
+    feed_version: Option<RowVersion>,
     has_failed: bool,
 }
 
 impl OwnershipElector {
-    /// Starts watching. The task ends when the process stops.
+    /// Starts the elector's task, which ends when the process stops.
     pub fn spawn(shared: Arc<PlannerShared>) -> tokio::task::JoinHandle<()> {
         let elector = OwnershipElector {
             shared,
             owner: None,
-            changed: clock::now(),
-            after: None,
+            changed_at: clock::now(),
+            feed_version: None,
             has_failed: false,
         };
         tokio::spawn(elector.run())
@@ -110,19 +115,19 @@
             if let Err(error) = &watched {
                 self.on_failure(error);
             }
-            self.shared.pace_watch(&watched).await;
-            if watched.is_ok() && self.is_vacant() {
+            self.shared.pace_retries(&watched).await;
+            if watched.is_ok() && self.is_takeover_due() {
                 self.take_over().await;
             }
         }
     }
 
-    /// Reads the rows, or waits for changes of them.
+    /// Reads the rows of the ownership the first time, and waits for changes of them later.
     async fn watch(&mut self) -> Result<(), RowError> {
         let store = self.shared.store.clone();
-        let (rows, version) = match self.after {
+        let (rows, version) = match self.feed_version {
             Some(after) => {
-                let wait = FEED_WAIT.min(self.until_vacant()).max(Duration::from_millis(1));
+                let wait = FEED_TIMEOUT.min(self.until_takeover()).max(Duration::from_millis(1));
                 let page = store.feed(OWNER_TABLE, after, wait).await?;
                 (page.rows, page.version)
             }
@@ -131,20 +136,20 @@
                 (page.rows, page.version)
             }
         };
-        self.after = Some(version);
+        self.feed_version = Some(version);
         if std::mem::take(&mut self.has_failed) {
             log_event(Level::Info, "ownership_watch_regained", &[("version", &version)]);
         }
         for row in rows {
-            self.adopt(&row);
+            self.apply_row(&row);
         }
         Ok(())
     }
 
-    fn adopt(&mut self, row: &StoredRow) {
-        self.changed = clock::now();
+    fn apply_row(&mut self, row: &StoredRow) {
+        self.changed_at = clock::now();
         if row.name.key == PULSE_KEY {
-            self.shared.view().pulse = decode(row).unwrap_or_default();
+            self.shared.view().heartbeat = decode(row).unwrap_or_default();
         }
         if row.name.key == OWNER_KEY {
             let is_older = self.owner.as_ref().is_some_and(|(_, version)| *version > row.version);
@@ -156,10 +161,11 @@
     }
 
     fn on_failure(&mut self, error: &RowError) {
-        // While the store is away nobody can renew; the pulse counts anew from its return.
-        self.changed = clock::now();
+        // No owner can write a heartbeat while the store is unavailable, so the takeover timeout
+        // starts again.
+        self.changed_at = clock::now();
         if *error == RowError::HistoryGone {
-            self.after = None;
+            self.feed_version = None;
         }
         if !std::mem::replace(&mut self.has_failed, true) {
             log_event(Level::Warn, "ownership_watch_lost", &[("error", error)]);
@@ -172,12 +178,12 @@
         takeover_delay(owner, &settings.internal_listen.to_string(), settings.processor_share)
     }
 
-    fn until_vacant(&self) -> Duration {
-        (self.changed + self.takeover_delay()).saturating_duration_since(clock::now())
+    fn until_takeover(&self) -> Duration {
+        (self.changed_at + self.takeover_delay()).saturating_duration_since(clock::now())
     }
 
-    fn is_vacant(&self) -> bool {
-        self.until_vacant().is_zero()
+    fn is_takeover_due(&self) -> bool {
+        self.until_takeover().is_zero()
     }
 
     async fn take_over(&mut self) {
@@ -194,32 +200,39 @@
             puts: vec![(owner_row(), encode(&owner))],
             removes: Vec::new(),
         };
-        let sent = clock::now();
+        let sent_at = clock::now();
         match self.shared.store.commit(&transaction).await {
             Ok(version) => {
                 self.shared.view().owner = Some(owner.clone());
-                let answered = clock::now();
+                let answered_at = clock::now();
                 let has_predecessor = owner.epoch > 1;
-                self.own(OwnerProof { owner, version, sent, answered, has_predecessor }).await;
+                self.plan_as_owner(ConfirmedOwnership {
+                    owner,
+                    version,
+                    sent_at,
+                    answered_at,
+                    has_predecessor,
+                })
+                .await;
             }
-            Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.adopt(row)),
-            // If it was written all the same, the next look at the row shows it.
+            Err(RowError::Conflict { rows }) => rows.iter().for_each(|row| self.apply_row(row)),
+            // If the row was written nevertheless, the next read shows it.
             Err(error) => {
                 self.on_failure(&error);
-                self.shared.pace_watch(&Err::<(), RowError>(error)).await;
+                self.shared.pace_retries(&Err::<(), RowError>(error)).await;
             }
         }
     }
 
     /// Plans until the ownership is lost or the process stops.
-    async fn own(&mut self, proof: OwnerProof) {
-        let epoch = proof.owner.epoch;
+    async fn plan_as_owner(&mut self, ownership: ConfirmedOwnership) {
+        let epoch = ownership.owner.epoch;
         log_event(Level::Info, "planning_started", &[("epoch", &epoch)]);
-        let reason = PlannerLoop::run(self.shared.clone(), proof).await;
+        let reason = PlannerLoop::run(self.shared.clone(), ownership).await;
         *self.shared.owned() = None;
         log_event(Level::Info, "planning_ended", &[("epoch", &epoch), ("reason", &reason)]);
-        self.after = None;
+        self.feed_version = None;
         self.owner = None;
-        self.changed = clock::now();
+        self.changed_at = clock::now();
     }
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -1,4 +1,7 @@
-//! The planner at work: takes news in, plans, stores, sends orders. Ends when the ownership is lost.
+//! The planner's loop, which runs while this process owns planning.
+//!
+//! It feeds reports, jobs and time to the [`Planner`], stores its decisions, and sends its orders
+//! to node agents. It ends when the ownership is lost or the process stops.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,10 +24,10 @@
 use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
 use crate::process::planning::node_link::OrderBatch;
-use crate::process::planning::ownership::OwnerProof;
-use crate::process::planning::planner_writes::LEARNED_PERIOD;
+use crate::process::planning::ownership::ConfirmedOwnership;
+use crate::process::planning::planner_writes::INTERFERENCE_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
-use crate::process::planning::planner_writes::written;
+use crate::process::planning::planner_writes::write_result;
 use crate::process::planning::rows::HOST_PARTITION;
 use crate::process::planning::rows::IMAGES_KEY;
 use crate::process::planning::rows::JOB_TABLE;
@@ -43,61 +46,69 @@
 use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
-/// Time between two looks at what is due by the clock.
-const TICK: Duration = Duration::from_millis(100);
-/// Rest between two searches for places, as a multiple of the time that one takes: with thousands of tasks
-/// that wait, reports come faster than searches end, and pulses and orders have to go out in between.
-const PLAN_REST: u32 = 3;
-/// Pause before rows that could not be read at a takeover are read again.
-const READ_PAUSE: Duration = Duration::from_millis(150);
-/// Pause before the advice service is asked again after it did not answer.
-const ADVICE_PAUSE: Duration = Duration::from_millis(300);
-/// Disputed lives that are remembered, so that each is logged once; more at a time would be a writer gone wild.
-const DISPUTES_KEPT: usize = 256;
+/// Time between two ticks, at which the planner handles what depends on the time.
+const TICK_PERIOD: Duration = Duration::from_millis(100);
+/// Minimum pause between two placement searches, as a multiple of the duration of the last one.
+/// With thousands of waiting tasks, reports arrive faster than searches end; without the pause,
+/// heartbeats and orders would be delayed.
+const PLAN_PAUSE_FACTOR: u32 = 3;
+/// Delay before a failed read of a table at a takeover is retried.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Delay before the planner may query the advice service again after a failed query.
+const ADVICE_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum number of disputed instances that are remembered in order to log each once. More can
+/// only come from a faulty sender; the set is then cleared.
+const MAX_DISPUTED_INSTANCES: usize = 256;
 
-/// The planner's loop and what it holds.
+/// The planner's loop and its state.
 pub struct PlannerLoop {
     pub(super) shared: Arc<PlannerShared>,
-    pub(super) proof: OwnerProof,
+    pub(super) ownership: ConfirmedOwnership,
+    /// Links to node agents, by address.
     links: BTreeMap<String, NodeLink>,
-    agents: BTreeMap<InstanceId, String>,
-    /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
-    disputed: BTreeSet<(InstanceId, String)>,
-    news: mpsc::UnboundedSender<LinkEvent>,
+    /// Address of the agent of each runner instance.
+    agent_addresses: BTreeMap<InstanceId, String>,
+    /// Instances that an agent reported as ended although they run at another agent, each with the
+    /// reporting agent.
+    disputed_instances: BTreeSet<(InstanceId, String)>,
+    /// Sender that every link gets a copy of.
+    events: mpsc::UnboundedSender<LinkEvent>,
+    /// The write in flight, if there is one.
     pub(super) write: Option<WriteTask>,
-    pub(super) pulse_due: Instant,
-    pub(super) learned_due: Instant,
-    pub(super) learned: LearnedInterference,
+    pub(super) heartbeat_due: Instant,
+    pub(super) interference_due: Instant,
+    /// Learned interference as last written.
+    pub(super) written_interference: LearnedInterference,
     pub(super) load_log_due: Instant,
-    /// Before this the planner does not look for places again.
-    plan_after: Instant,
-    /// Whether something has happened since it did.
-    has_news: bool,
+    /// Earliest time of the next placement search.
+    next_plan_at: Instant,
+    /// Whether anything has changed since the last placement search.
+    has_changes: bool,
 }
 
-/// How a step of the loop ended.
+/// Result of a step of the loop. The error is the reason why planning ends.
 pub(super) type StepResult = Result<(), String>;
 
 impl PlannerLoop {
-    /// Plans until the ownership is lost or the process stops; gives the reason.
-    pub async fn run(shared: Arc<PlannerShared>, proof: OwnerProof) -> String {
-        let (news, received) = mpsc::unbounded_channel();
+    /// Plans until the ownership is lost or the process stops. Returns the reason.
+    pub async fn run(shared: Arc<PlannerShared>, ownership: ConfirmedOwnership) -> String {
+        let (events, received) = mpsc::unbounded_channel();
         let mut planning = PlannerLoop {
             shared,
-            proof,
+            ownership,
             links: BTreeMap::new(),
-            agents: BTreeMap::new(),
-            disputed: BTreeSet::new(),
-            news,
+            agent_addresses: BTreeMap::new(),
+            disputed_instances: BTreeSet::new(),
+            events,
             write: None,
-            pulse_due: clock::now(),
-            learned_due: clock::now() + LEARNED_PERIOD,
-            learned: LearnedInterference::default(),
+            heartbeat_due: clock::now(),
+            interference_due: clock::now() + INTERFERENCE_PERIOD,
+            written_interference: LearnedInterference::default(),
             load_log_due: clock::now(),
-            plan_after: clock::now(),
-            has_news: false,
+            next_plan_at: clock::now(),
+            has_changes: false,
         };
-        match planning.work(received).await {
+        match planning.run_until_lost(received).await {
             Ok(()) => {
                 planning.release().await;
                 "stopping".to_string()
@@ -106,7 +117,10 @@
         }
     }
 
-    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
+    async fn run_until_lost(
+        &mut self,
+        mut events: mpsc::UnboundedReceiver<LinkEvent>,
+    ) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
@@ -117,50 +131,51 @@
             Some(jobs_after),
         );
         let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_PERIOD);
         while !self.shared.is_stopping() {
             let shared = self.shared.clone();
-            let rest = self.plan_after.saturating_duration_since(clock::now());
+            let pause = self.next_plan_at.saturating_duration_since(clock::now());
             tokio::select! {
                 rows = jobs.next() => self.on_jobs(&rows),
                 rows = nodes.next() => self.on_nodes(&rows),
-                Some(first) = news.recv() => {
-                    self.on_news(first)?;
-                    while let Ok(more) = news.try_recv() {
-                        self.on_news(more)?;
+                Some(first) = events.recv() => {
+                    self.on_link_event(first)?;
+                    while let Ok(more) = events.try_recv() {
+                        self.on_link_event(more)?;
                     }
                 }
-                written = written(&mut self.write) => self.on_written(written)?,
+                result = write_result(&mut self.write) => self.on_write_result(result)?,
                 _ = tick.tick() => self.on_tick(),
                 () = shared.wake.notified() => {}
-                () = tokio::time::sleep(rest), if self.has_news => {}
+                () = tokio::time::sleep(pause), if self.has_changes => {}
             }
             self.plan();
         }
         Ok(())
     }
 
-    /// Reads all jobs and their progress. Gives the version from which on changes of jobs are new.
+    /// Loads all jobs, their progress and the learned interference. Returns the version after which
+    /// changes of jobs have to be read from the feed.
     async fn load(&mut self) -> Result<RowVersion, String> {
-        let answered = self.proof.answered;
-        let expired = if self.proof.has_predecessor {
-            predecessor_leases_expired_by(answered)
+        let answered_at = self.ownership.answered_at;
+        let expired = if self.ownership.has_predecessor {
+            predecessor_leases_expired_by(answered_at)
         } else {
-            answered
+            answered_at
         };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
-        let own = [PARTITION.to_string()];
-        let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
-        let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
-        self.warn_of_other_layout(layout).await?;
+        let partitions = [PARTITION.to_string()];
+        let (progress, _) = self.read_table(PROGRESS_TABLE, &partitions).await?;
+        let (learned, _) = self.read_table(LEARNED_TABLE, &partitions).await?;
+        self.warn_about_other_layout(layout).await?;
         for (job, version, record) in job_records(&jobs) {
             planner.on_record(&job, version, record);
         }
         planner.set_time(clock::now(), self.shared.clock.wall_millis());
-        if let Some(effects) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
-            planner.restore_learned(decode(effects).unwrap_or_default());
+        if let Some(row) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
+            planner.restore_learned(decode(row).unwrap_or_default());
         }
         for row in &progress {
             if let Some(known) = decode(row) {
@@ -172,19 +187,21 @@
             "jobs_loaded",
             &[("jobs", &jobs.len()), ("in_progress", &progress.len()), ("version", &version)],
         );
-        let proof = self.proof.sent;
-        *self.shared.owned() = Some(OwnedPlanner { planner, proof });
+        let confirmed_at = self.ownership.sent_at;
+        *self.shared.owned() = Some(OwnedPlanner { planner, confirmed_at });
         Ok(version)
     }
 
-    /// Tells the operator of jobs' rows where this layout does not look for them: the setting was changed while there were jobs.
-    async fn warn_of_other_layout(&self, layout: JobLayout) -> StepResult {
+    /// Logs an error if there are job rows in the default partition although the layout uses
+    /// others: the setting was changed while there were jobs, and these are not planned.
+    async fn warn_about_other_layout(&self, layout: JobLayout) -> StepResult {
         if layout == JobLayout::default() {
             return Ok(());
         }
-        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
-        if !left.is_empty() {
-            log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &left.len())]);
+        let (unplanned, _) =
+            self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
+        if !unplanned.is_empty() {
+            log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &unplanned.len())]);
         }
         Ok(())
     }
@@ -204,11 +221,12 @@
             if self.shared.is_stopping() {
                 return Err("stopping".to_string());
             }
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(LOAD_RETRY_DELAY).await;
         }
     }
 
-    /// Lets the planner decide at the present time.
+    /// Sets the planner's time to the current one and calls `act` with it. Returns `None` if this
+    /// process is not the owner.
     pub(super) fn with_planner<T>(&self, act: impl FnOnce(&mut Planner) -> T) -> Option<T> {
         let (now, wall_ms) = (clock::now(), self.shared.clock.wall_millis());
         let mut owned = self.shared.owned();
@@ -232,47 +250,49 @@
                 self.links.remove(&row.name.key);
                 continue;
             };
-            let (shared, news) = (self.shared.clone(), self.news.clone());
-            let epoch = self.proof.owner.epoch;
+            let (shared, events) = (self.shared.clone(), self.events.clone());
+            let epoch = self.ownership.owner.epoch;
             let address = node.address.clone();
-            let link = || NodeLink::spawn(shared, epoch, node.address, news);
+            let link = || NodeLink::spawn(shared, epoch, node.address, events);
             self.links.entry(address).or_insert_with(link);
         }
     }
 
-    fn on_news(&mut self, news: LinkEvent) -> StepResult {
-        match news {
+    fn on_link_event(&mut self, event: LinkEvent) -> StepResult {
+        match event {
             LinkEvent::Report { address, mut report, is_new_link } => {
-                report.former.retain(|life| self.may_end(&address, life));
+                report.former.retain(|instance| self.may_report_ended(&address, instance));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
-                    self.agents.insert(runner.instance.clone(), address);
+                    self.agent_addresses.insert(runner.instance.clone(), address);
                 }
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
             }
-            LinkEvent::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
-                Err(format!("an agent knows epoch {}", newest.epoch))
+            LinkEvent::Replaced(newest) if newest.epoch > self.ownership.owner.epoch => {
+                Err(format!("an agent has received calls of epoch {}", newest.epoch))
             }
-            // An own link that was replaced by a newer one of its own.
+            // A newer link of this planner to the same agent has replaced the one that reports
+            // this.
             LinkEvent::Replaced(_) => Ok(()),
         }
     }
 
-    /// Whether an agent may say that a life is over: not when the life is known to be beside another agent. A
-    /// heartbeat of another writer, or one that went to the wrong host, names such a life.
-    fn may_end(&mut self, address: &str, life: &InstanceId) -> bool {
-        let known = self.agents.get(life);
+    /// Whether an agent may report that a runner instance has ended: not if the instance is known
+    /// to run at another agent. An agent gets the name of such an instance from a heartbeat that
+    /// another program sent, or that was sent to the wrong host.
+    fn may_report_ended(&mut self, address: &str, instance: &InstanceId) -> bool {
+        let known = self.agent_addresses.get(instance);
         if known.is_none_or(|known| known == address) {
             return true;
         }
-        if self.disputed.len() >= DISPUTES_KEPT {
-            self.disputed.clear();
+        if self.disputed_instances.len() >= MAX_DISPUTED_INSTANCES {
+            self.disputed_instances.clear();
         }
-        if self.disputed.insert((life.clone(), address.to_string())) {
+        if self.disputed_instances.insert((instance.clone(), address.to_string())) {
             let known = known.cloned().unwrap_or_default();
             let fields: [(&str, &dyn Display); 3] =
-                [("instance", life), ("agent", &address), ("known_at", &known)];
+                [("instance", instance), ("agent", &address), ("known_at", &known)];
             log_event(Level::Warn, "foreign_life_ignored", &fields);
         }
         false
@@ -282,42 +302,44 @@
         self.with_planner(Planner::on_tick);
     }
 
-    /// Plans, starts the next write, and sends what may be sent.
+    /// Plans unless the pause after the last search is not over, starts the next write, and sends
+    /// orders and advice queries.
     fn plan(&mut self) {
-        self.has_news = true;
+        self.has_changes = true;
         let started = clock::now();
-        if started >= self.plan_after {
+        if started >= self.next_plan_at {
             self.with_planner(Planner::plan);
-            self.plan_after = clock::now() + clock::elapsed(started) * PLAN_REST;
-            self.has_news = false;
+            self.next_plan_at = clock::now() + clock::elapsed(started) * PLAN_PAUSE_FACTOR;
+            self.has_changes = false;
         }
         if self.write.is_none() {
             self.write = self.next_write();
         }
         self.send_orders();
-        self.ask_advice();
+        self.request_advice();
         let decisions = self.with_planner(Planner::take_decisions).unwrap_or_default();
         for decision in &decisions {
             self.shared.metrics.tasks.with_label_values(&[decision.label()]).inc();
-            log_decision(self.proof.owner.epoch, decision);
+            log_decision(self.ownership.owner.epoch, decision);
         }
     }
 
-    /// Asks the advice service what the planner wants to know; the answer wakes the loop.
-    fn ask_advice(&self) {
-        let questions = self.with_planner(Planner::take_advice_queries).unwrap_or_default();
-        for question in questions {
+    /// Sends the planner's queries to the advice service. Each response is passed to the planner
+    /// and wakes the loop.
+    fn request_advice(&self) {
+        let queries = self.with_planner(Planner::take_advice_queries).unwrap_or_default();
+        for query in queries {
             let shared = self.shared.clone();
             tokio::spawn(async move {
                 let asked_at = clock::now();
                 let answer = match &shared.advice {
-                    Some(service) => service.advise(&question).await,
+                    Some(service) => service.advise(&query).await,
                     None => None,
                 };
                 if answer.is_none() {
-                    let (job, _, step) = &question.step;
+                    let (job, _, step) = &query.step;
                     log_event(Level::Warn, "advice_failed", &[("job", job), ("step", step)]);
-                    tokio::time::sleep(ADVICE_PAUSE).await;
+                    tokio::time::sleep(ADVICE_RETRY_DELAY).await;
                 }
                 if let Some(owned) = shared.owned().as_mut() {
                     owned.planner.on_advice(answer, asked_at);
@@ -329,19 +351,20 @@
 
     fn send_orders(&mut self) {
         let orders = self.with_planner(Planner::take_orders).unwrap_or_default();
-        let mut parcels: BTreeMap<InstanceId, Vec<NodeOrder>> = BTreeMap::new();
+        let mut batches: BTreeMap<InstanceId, Vec<NodeOrder>> = BTreeMap::new();
         for (instance, order) in orders {
-            parcels.entry(instance).or_default().push(order);
+            batches.entry(instance).or_default().push(order);
         }
-        for (instance, orders) in parcels {
+        for (instance, orders) in batches {
             let numbered =
                 self.with_planner(|planner| planner.assign_order_number(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
             };
-            let link = self.agents.get(&instance).and_then(|address| self.links.get(address));
+            let link =
+                self.agent_addresses.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
-                // A link that has ended is replaced, and its orders are sent anew.
+                // If the link has ended, a new one replaces it and the planner orders again.
                 let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
--- a/src/process/planning/planner_writes.rs
+++ b/src/process/planning/planner_writes.rs
@@ -1,4 +1,4 @@
-//! What the planner's loop writes to the store, one transaction at a time.
+//! Writes of the planner's loop to the store, one transaction at a time.
 
 use std::time::Duration;
 
@@ -12,11 +12,12 @@
 use crate::ids::RowVersion;
 use crate::process::clock;
 use crate::process::logging::log_event;
-use crate::process::planning::commit_writer::CommitFate;
-use crate::process::planning::commit_writer::commit;
+use crate::process::planning::commit_writer::CommitOutcome;
+use crate::process::planning::commit_writer::commit_until_settled;
 use crate::process::planning::decision_log::log_load;
 use crate::process::planning::planner_loop::PlannerLoop;
 use crate::process::planning::planner_loop::StepResult;
+use crate::process::planning::rows::HeartbeatRow;
 use crate::process::planning::rows::IMAGES_KEY;
 use crate::process::planning::rows::JOB_TABLE;
 use crate::process::planning::rows::LEARNED_TABLE;
@@ -24,7 +25,6 @@
 use crate::process::planning::rows::OwnerRow;
 use crate::process::planning::rows::PARTITION;
 use crate::process::planning::rows::PULSE_KEY;
-use crate::process::planning::rows::PulseRow;
 use crate::process::planning::rows::batch_transaction;
 use crate::process::planning::rows::encode;
 use crate::process::planning::rows::job_records;
@@ -32,57 +32,65 @@
 use crate::workflow::planner::Planner;
 use crate::workflow::planner_batch::PlanBatch;
 
-/// Time between two pulses.
-const PULSE: Duration = Duration::from_millis(400);
-/// Time between two writes of what was learned of images: pairs change over tens of seconds.
-pub(super) const LEARNED_PERIOD: Duration = Duration::from_secs(4);
-/// Time between two lines of the log that tell what waits and runs.
-const LOAD_LOG: Duration = Duration::from_secs(2);
-/// Time for giving the ownership back at a graceful stop.
-const RELEASE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Ended jobs' rows that are removed at once.
-const FORGET_AT_ONCE: usize = 40;
-
-/// What a write was for.
+/// Time between two heartbeats.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
+/// Time between two writes of the learned interference, which changes over tens of seconds.
+pub(super) const INTERFERENCE_PERIOD: Duration = Duration::from_secs(4);
+/// Time between two log lines with the planner's load.
+const LOAD_LOG_PERIOD: Duration = Duration::from_secs(2);
+/// Timeout of releasing the ownership at a graceful stop.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of rows of ended jobs that one transaction removes.
+const MAX_REMOVED_JOBS: usize = 40;
+
+/// Purpose of a write.
 pub(super) enum WritePurpose {
+    /// Progress and ends of jobs.
     Batch(PlanBatch),
-    Pulse,
-    Forget(Vec<JobId>),
+    /// The owner's heartbeat alone.
+    Heartbeat,
+    /// Removal of the rows of these jobs, whose retention has ended.
+    RemoveExpired(Vec<JobId>),
 }
 
-/// A write that is on its way.
-pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitFate)>;
+/// A write in flight.
+pub(super) type WriteTask = JoinHandle<(WritePurpose, RowTransaction, CommitOutcome)>;
 
 impl PlannerLoop {
-    pub(super) fn on_written(
+    /// Handles the end of the write in flight. Fails if the ownership is lost.
+    pub(super) fn on_write_result(
         &mut self,
-        written: (WritePurpose, RowTransaction, CommitFate),
+        result: (WritePurpose, RowTransaction, CommitOutcome),
     ) -> StepResult {
         self.write = None;
-        let (purpose, transaction, fate) = written;
-        match fate {
-            CommitFate::Stored(version, proof) => {
-                if let (Some(owned), Some(proof)) = (self.shared.owned().as_mut(), proof) {
-                    owned.proof = owned.proof.max(proof);
+        let (purpose, transaction, outcome) = result;
+        match outcome {
+            CommitOutcome::Stored(version, confirmed_at) => {
+                if let (Some(owned), Some(confirmed_at)) =
+                    (self.shared.owned().as_mut(), confirmed_at)
+                {
+                    owned.confirmed_at = owned.confirmed_at.max(confirmed_at);
                 }
                 self.on_stored(purpose, version);
                 Ok(())
             }
-            CommitFate::Refused(rows) => self.on_refused(purpose, &transaction, &rows),
+            CommitOutcome::Conflict(rows) => self.on_conflict(purpose, &transaction, &rows),
         }
     }
 
     pub(super) fn on_stored(&mut self, purpose: WritePurpose, version: RowVersion) {
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_committed(batch, version),
-            WritePurpose::Forget(jobs) => {
+            WritePurpose::RemoveExpired(jobs) => {
                 jobs.iter().for_each(|job| planner.on_record_removed(job))
             }
-            WritePurpose::Pulse => {}
+            WritePurpose::Heartbeat => {}
         });
     }
 
-    pub(super) fn on_refused(
+    /// Handles a conflict. Only job rows may have changed, for example by a cancellation; any other
+    /// changed row ends planning.
+    pub(super) fn on_conflict(
         &mut self,
         purpose: WritePurpose,
         transaction: &RowTransaction,
@@ -93,99 +101,109 @@
             let found =
                 current(name).filter(|row| row.value.is_some()).map_or(0, |row| row.version);
             if found != *version && name.table != JOB_TABLE {
-                // Another planner has written, or a write of ours was taken for lost; both are
-                // mended by taking over anew from what is stored.
-                return Err(format!("{} {} has version {found}", name.table, name.key));
+                // Another owner has written, or a write of this one was applied although it was
+                // considered lost. In both cases planning ends here, and the next takeover reloads
+                // what is stored.
+                return Err(format!(
+                    "row {} {} was changed (version {found})",
+                    name.table, name.key
+                ));
             }
         }
         let newest = job_records(rows);
         self.with_planner(|planner| match purpose {
             WritePurpose::Batch(batch) => planner.on_conflict(batch, newest),
-            WritePurpose::Pulse => {}
-            // A row that was to be forgotten has changed; it is tried again with its new version.
-            WritePurpose::Forget(_) => newest
+            WritePurpose::Heartbeat => {}
+            // The row of an expired job has changed; its removal is retried with the new version.
+            WritePurpose::RemoveExpired(_) => newest
                 .into_iter()
                 .for_each(|(job, version, record)| planner.on_record(&job, version, record)),
         });
         Ok(())
     }
 
+    /// Starts the next write, if there is one: a batch of the planner, else what is due at the
+    /// heartbeat.
     pub(super) fn next_write(&mut self) -> Option<WriteTask> {
-        let is_pulse_due = clock::now() >= self.pulse_due;
+        let is_heartbeat_due = clock::now() >= self.heartbeat_due;
         if let Some(batch) = self.with_planner(Planner::take_batch).flatten() {
             let mut transaction =
-                batch_transaction(&batch, self.proof.version, self.shared.settings.layout);
-            if is_pulse_due {
-                // Batches may follow each other without a pause; others see only the pulse.
-                self.add_pulse(&mut transaction);
+                batch_transaction(&batch, self.ownership.version, self.shared.settings.layout);
+            if is_heartbeat_due {
+                // Batches may follow each other without a pause, and other processes watch only the
+                // heartbeat.
+                self.add_heartbeat(&mut transaction);
             }
             return Some(self.spawn_write(WritePurpose::Batch(batch), transaction));
         }
-        if !is_pulse_due {
+        if !is_heartbeat_due {
             return None;
         }
-        let kept_for = self.shared.settings.kept_for;
-        let expired = self.with_planner(|planner| planner.expired_records(kept_for));
+        let retention = self.shared.settings.ended_job_retention;
+        let expired = self.with_planner(|planner| planner.expired_records(retention));
         let expired = expired.unwrap_or_default();
         if !expired.is_empty() {
-            return Some(self.write_forget(expired));
+            return Some(self.write_removal(expired));
         }
-        let mut transaction = self.bound_transaction();
-        self.add_pulse(&mut transaction);
-        Some(self.spawn_write(WritePurpose::Pulse, transaction))
+        let mut transaction = self.owner_transaction();
+        self.add_heartbeat(&mut transaction);
+        Some(self.spawn_write(WritePurpose::Heartbeat, transaction))
     }
 
-    /// Adds the pulse, and what goes with it.
-    fn add_pulse(&mut self, transaction: &mut RowTransaction) {
+    /// Adds the heartbeat, and the learned interference when it is due. Logs the load when that is
+    /// due.
+    fn add_heartbeat(&mut self, transaction: &mut RowTransaction) {
         let now = clock::now();
-        self.pulse_due = now + PULSE;
+        self.heartbeat_due = now + HEARTBEAT_PERIOD;
         let pending = self.with_planner(|planner| planner.pending()).unwrap_or_default();
         if now >= self.load_log_due {
-            self.load_log_due = now + LOAD_LOG;
+            self.load_log_due = now + LOAD_LOG_PERIOD;
             if let Some(owned) = self.shared.owned().as_ref() {
-                log_load(self.proof.owner.epoch, &owned.planner);
+                log_load(self.ownership.owner.epoch, &owned.planner);
             }
         }
-        let pulse = PulseRow { epoch: self.proof.owner.epoch, pending };
+        let heartbeat = HeartbeatRow { epoch: self.ownership.owner.epoch, pending };
         let name = RowName::new(OWNER_TABLE, PARTITION, PULSE_KEY);
-        transaction.puts.push((name, encode(&pulse)));
-        if now >= self.learned_due {
-            self.learned_due = now + LEARNED_PERIOD;
-            self.add_learned(transaction);
+        transaction.puts.push((name, encode(&heartbeat)));
+        if now >= self.interference_due {
+            self.interference_due = now + INTERFERENCE_PERIOD;
+            self.add_interference(transaction);
         }
     }
 
-    /// Adds what was learned of images, if that is something new.
-    fn add_learned(&mut self, transaction: &mut RowTransaction) {
+    /// Adds the learned interference, if it has changed since the last write.
+    fn add_interference(&mut self, transaction: &mut RowTransaction) {
         let learned = self.with_planner(|planner| planner.learned()).unwrap_or_default();
-        if learned != self.learned {
+        if learned != self.written_interference {
             let name = RowName::new(LEARNED_TABLE, PARTITION, IMAGES_KEY);
             transaction.puts.push((name, encode(&learned)));
-            self.learned = learned;
+            self.written_interference = learned;
         }
     }
 
-    pub(super) fn write_forget(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
-        expired.truncate(FORGET_AT_ONCE);
-        let mut transaction = self.bound_transaction();
-        self.add_pulse(&mut transaction);
+    /// Starts the removal of the rows of expired jobs, together with a heartbeat.
+    pub(super) fn write_removal(&mut self, mut expired: Vec<(JobId, RowVersion)>) -> WriteTask {
+        expired.truncate(MAX_REMOVED_JOBS);
+        let mut transaction = self.owner_transaction();
+        self.add_heartbeat(&mut transaction);
         for (job, version) in &expired {
             let name = self.shared.settings.layout.row(job);
             transaction.expected.push((name.clone(), *version));
             transaction.removes.push(name);
         }
         let jobs = expired.into_iter().map(|(job, _)| job).collect();
-        self.spawn_write(WritePurpose::Forget(jobs), transaction)
+        self.spawn_write(WritePurpose::RemoveExpired(jobs), transaction)
     }
 
-    /// A transaction that only the owner's own epoch can apply.
-    pub(super) fn bound_transaction(&self) -> RowTransaction {
+    /// Creates an empty transaction that is applied only while this process is still the owner.
+    pub(super) fn owner_transaction(&self) -> RowTransaction {
         RowTransaction {
-            expected: vec![(owner_row(), self.proof.version)],
+            expected: vec![(owner_row(), self.ownership.version)],
             ..RowTransaction::default()
         }
     }
 
+    /// Starts a task that commits `transaction`.
     pub(super) fn spawn_write(
         &self,
         purpose: WritePurpose,
@@ -193,37 +211,37 @@
     ) -> WriteTask {
         let store = self.shared.store.clone();
         tokio::spawn(async move {
-            let fate = commit(store, &transaction).await;
-            (purpose, transaction, fate)
+            let outcome = commit_until_settled(store, &transaction).await;
+            (purpose, transaction, outcome)
         })
     }
 
-    /// Gives the ownership back, so that another process takes over at once.
+    /// Releases the ownership, so that another process takes over without the takeover timeout.
     pub(super) async fn release(&mut self) {
-        let released = OwnerRow { released: true, ..self.proof.owner.clone() };
-        let mut transaction = self.bound_transaction();
+        let released = OwnerRow { released: true, ..self.ownership.owner.clone() };
+        let mut transaction = self.owner_transaction();
         transaction.puts.push((owner_row(), encode(&released)));
         let store = self.shared.store.clone();
         let release = async {
             if let Some(write) = self.write.take() {
-                // Its fate is found by the next owner.
+                // The next owner reads the outcome of this write from the store.
                 let _ = write.await;
             }
-            commit(store, &transaction).await
+            commit_until_settled(store, &transaction).await
         };
-        let is_released = tokio::time::timeout(RELEASE_LIMIT, release).await.is_ok();
+        let is_released = tokio::time::timeout(RELEASE_TIMEOUT, release).await.is_ok();
         log_event(Level::Info, "ownership_released", &[("released", &is_released)]);
     }
 }
 
-/// The end of the write on its way; never, when there is none.
-pub(super) async fn written(
+/// Waits for the write in flight. Never returns if there is none.
+pub(super) async fn write_result(
     write: &mut Option<WriteTask>,
-) -> (WritePurpose, RowTransaction, CommitFate) {
+) -> (WritePurpose, RowTransaction, CommitOutcome) {
     if let Some(task) = write
-        && let Ok(written) = task.await
+        && let Ok(result) = task.await
     {
-        return written;
+        return result;
     }
     std::future::pending().await
 }
--- a/src/process/planning/queue_watch.rs
+++ b/src/process/planning/queue_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the operator's configuration; the version in force only rises.
+//! Watches the operator's queue configuration. The version in effect never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
 
-/// Longest wait for news in one call, so that a connection that went silent is noticed well within the
-/// two seconds in which a configuration has to be in force.
-const FEED_WAIT: Duration = Duration::from_millis(700);
+/// Maximum time that one feed call waits for changes. It is short enough to detect a half-open
+/// connection well within the two seconds in which a new configuration has to take effect.
+const FEED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Starts following the configuration.
+/// Starts the task that watches the configuration.
 pub fn spawn_queue_watch(shared: Arc<PlannerShared>) {
     tokio::spawn(async move {
         let mut after = None;
         let mut has_failed = false;
         loop {
-            let followed = follow(&shared, after).await;
-            shared.pace_watch(&followed).await;
-            match followed {
+            let read = read_configuration(&shared, after).await;
+            shared.pace_retries(&read).await;
+            match read {
                 Ok(version) => {
                     if std::mem::take(&mut has_failed) {
                         log_event(
@@ -52,11 +52,14 @@
     });
 }
 
-/// Reads the configuration, or waits for the next one.
-async fn follow(shared: &PlannerShared, after: Option<RowVersion>) -> Result<RowVersion, RowError> {
+/// Reads the configuration the first time, and waits for changes of it later.
+async fn read_configuration(
+    shared: &PlannerShared,
+    after: Option<RowVersion>,
+) -> Result<RowVersion, RowError> {
     let (rows, version) = match after {
         Some(after) => {
-            let page = shared.store.feed(OPERATOR_TABLE, after, FEED_WAIT).await?;
+            let page = shared.store.feed(OPERATOR_TABLE, after, FEED_TIMEOUT).await?;
             (page.rows, page.version)
         }
         None => {
@@ -66,12 +69,13 @@
     };
     let name = RowName::new(OPERATOR_TABLE, "", CONFIGURATION_KEY);
     if let Some(row) = rows.iter().rev().find(|row| row.name == name) {
-        adopt(shared, row);
+        apply_row(shared, row);
     }
     Ok(version)
 }
 
-fn adopt(shared: &PlannerShared, row: &StoredRow) {
+/// Puts the configuration of a row into effect if its version is newer.
+fn apply_row(shared: &PlannerShared, row: &StoredRow) {
     let Some(value) = &row.value else {
         return;
     };
@@ -82,14 +86,14 @@
             return;
         }
     };
-    let known = shared.queues.borrow().as_ref().map_or(0, |table| table.version);
-    if table.version <= known {
+    let current = shared.queues.borrow().as_ref().map_or(0, |table| table.version);
+    if table.version <= current {
         return;
     }
     log_event(
         Level::Info,
         "configuration_in_force",
-        &[("version", &table.version), ("before", &known), ("queues", &table.len())],
+        &[("version", &table.version), ("before", &current), ("queues", &table.len())],
     );
     shared.queues.send_replace(Some(Arc::new(table)));
 }
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -1,4 +1,4 @@
-//! Follows a table of the store: all its rows first, then every change.
+//! Stream of the rows of a table in the store: all rows first, then every change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,26 @@
 use crate::process::logging::log_event;
 use crate::process::planning::shared::PlannerShared;
 
-/// Longest wait for changes in one call; a connection that went silent costs no more than this.
-const FEED_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum time that one feed call waits for changes. It bounds the delay that a half-open
+/// connection causes.
+const FEED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A table that is followed; it ends when it is dropped.
+/// Handle of a feed, whose task is aborted when the handle is dropped.
 #[derive(Debug)]
 pub struct TableFeed {
     rows: mpsc::UnboundedReceiver<Vec<StoredRow>>,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for TableFeed {
     fn drop(&mut self) {
-        self.running.abort();
+        self.task.abort();
     }
 }
 
 impl TableFeed {
-    /// Starts following a table after a version; without one all its rows in the partitions come first.
+    /// Starts a feed of the changes of `table` after the version `after`. Without a version, it
+    /// first reads all rows of `partitions`.
     pub fn spawn(
         shared: Arc<PlannerShared>,
         table: &'static str,
@@ -40,10 +42,11 @@
         after: Option<RowVersion>,
     ) -> TableFeed {
         let (sender, rows) = mpsc::unbounded_channel();
-        TableFeed { rows, running: tokio::spawn(follow(shared, table, partitions, after, sender)) }
+        TableFeed { rows, task: tokio::spawn(run_feed(shared, table, partitions, after, sender)) }
     }
 
-    /// The next rows: changed ones, or all after a gap in the history.
+    /// Waits for the next rows: changed ones, or all rows if the store has dropped the history in
+    /// between.
     pub async fn next(&mut self) -> Vec<StoredRow> {
         match self.rows.recv().await {
             Some(rows) => rows,
@@ -52,7 +55,7 @@
     }
 }
 
-async fn follow(
+async fn run_feed(
     shared: Arc<PlannerShared>,
     table: &'static str,
     partitions: Vec<String>,
@@ -62,7 +65,7 @@
     let mut has_failed = false;
     loop {
         let read = next_rows(shared.store.as_ref(), table, &partitions, after).await;
-        shared.pace_watch(&read).await;
+        shared.pace_retries(&read).await;
         match read {
             Ok((rows, version)) => {
                 if std::mem::take(&mut has_failed) {
@@ -93,7 +96,7 @@
 ) -> Result<(Vec<StoredRow>, RowVersion), RowError> {
     match after {
         Some(after) => {
-            let page = store.feed(table, after, FEED_WAIT).await?;
+            let page = store.feed(table, after, FEED_TIMEOUT).await?;
             Ok((page.rows, page.version))
         }
         None => read_partitions(store, table, partitions).await,
