--- a/src/connection/announcement.rs
+++ b/src/connection/announcement.rs
@@ -197,7 +197,7 @@
         if let Some(time) = ended.answered.filter(|_| known.is_adaptive) {
             // Half-way between the requests beside it at its beginning and at its end.
             let level = (ended.in_flight + known.in_flight).div_ceil(2);
-            known.limit.on_answer(level, time, now);
+            known.limit.on_response(level, time, now);
         }
         known.in_flight = known.in_flight.saturating_sub(1);
     }
--- a/src/request/concurrency_limit.rs
+++ b/src/request/concurrency_limit.rs
@@ -99,9 +99,9 @@
     /// # use std::time::{Duration, Instant};
     /// # use greengagearch::request::concurrency_limit::ConcurrencyLimit;
     /// let now = Instant::now();
-    /// ConcurrencyLimit::new(8, now).on_answer(3, Duration::from_millis(20), now);
+    /// ConcurrencyLimit::new(8, now).on_response(3, Duration::from_millis(20), now);
     /// ```
-    pub fn on_answer(&mut self, in_flight: u32, time: Duration, now: Instant) {
+    pub fn on_response(&mut self, in_flight: u32, time: Duration, now: Instant) {
         let index = in_flight.clamp(1, self.slots.max(1)) as usize - 1;
         let Some(level) = self.levels.get_mut(index) else {
             return;
@@ -196,7 +196,7 @@
             let share = (f64::from(in_flight) / cores).max(1.0);
             let noise = rng.random_range(0.8..1.2);
             let time = Duration::from_secs_f64(BASE * share * noise * outside(step));
-            limit.on_answer(in_flight, time, now);
+            limit.on_response(in_flight, time, now);
             if step >= 10_000 {
                 limits.push(limit.limit());
             }
@@ -243,7 +243,7 @@
                 let now = start + Duration::from_millis(passed);
                 let in_flight = busy_level(&mut rng, limit.limit());
                 let share = (f64::from(in_flight) / cores).max(1.0);
-                limit.on_answer(in_flight, Duration::from_secs_f64(BASE * share), now);
+                limit.on_response(in_flight, Duration::from_secs_f64(BASE * share), now);
             }
             at_end.push(limit.limit());
         }
@@ -258,7 +258,7 @@
         for step in 0..1_000_u64 {
             let now = start + Duration::from_millis(10 * step);
             let level = 1 + (step % 4) as u32;
-            limit.on_answer(level, Duration::from_millis(20 * u64::from(level)), now);
+            limit.on_response(level, Duration::from_millis(20 * u64::from(level)), now);
         }
         assert_eq!(limit.limit(), 8);
     }
