--- a/src/request/concurrency_limit.rs
+++ b/src/request/concurrency_limit.rs
@@ -13,24 +13,24 @@
 /// Weight of the newest sample in a level's mean time.
 const SAMPLE_WEIGHT: f64 = 0.2;
 /// Samples that a level needs before it is compared.
-const FEWEST_SAMPLES: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 /// Time after which what was measured at a level is no longer compared.
-const LEVEL_LIFE: Duration = Duration::from_secs(15);
+const LEVEL_TTL: Duration = Duration::from_secs(15);
 /// Time between two looks at the levels.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
 /// Looks in a row at which another level must be better: when the endpoint's times change from outside,
 /// the levels that are measured more often show it earlier.
-const LOOKS_TO_LOWER: u32 = 6;
+const EVALUATIONS_TO_LOWER: u32 = 6;
 /// Time at the best known level before one more is tried.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 /// By how much another level's power must be greater than that of the limit.
-const POWER_MARGIN: f64 = 1.25;
+const MIN_POWER_GAIN: f64 = 1.25;
 /// Smallest limit.
-const SMALLEST_LIMIT: u32 = 1;
+const MIN_LIMIT: u32 = 1;
 
 /// What was measured with a number of requests in flight.
 #[derive(Clone, Copy, Debug)]
-struct FlightLevel {
+struct ConcurrencyLevel {
     mean_seconds: f64,
     samples: u32,
     measured_at: Instant,
@@ -42,10 +42,10 @@
     slots: u32,
     limit: u32,
     /// Levels from one in flight upwards.
-    levels: Vec<Option<FlightLevel>>,
-    looked_at: Instant,
+    levels: Vec<Option<ConcurrencyLevel>>,
+    evaluated_at: Instant,
     changed_at: Instant,
-    better_looks: u32,
+    better_evaluations: u32,
 }
 
 impl ConcurrencyLimit {
@@ -63,9 +63,9 @@
             slots,
             limit: slots,
             levels: vec![None; slots as usize],
-            looked_at: now,
+            evaluated_at: now,
             changed_at: now,
-            better_looks: 0,
+            better_evaluations: 0,
         }
     }
 
@@ -87,9 +87,9 @@
         if slots == self.slots {
             return;
         }
-        let was_open = self.limit == self.slots;
+        let was_at_slots = self.limit == self.slots;
         self.slots = slots;
-        self.limit = if was_open { slots } else { self.limit.min(slots) };
+        self.limit = if was_at_slots { slots } else { self.limit.min(slots) };
         self.levels.resize(slots as usize, None);
     }
 
@@ -107,35 +107,38 @@
             return;
         };
         let seconds = time.as_secs_f64();
-        let known = level.filter(|level| is_fresh(level, now));
-        let mut next =
-            known.unwrap_or(FlightLevel { mean_seconds: seconds, samples: 0, measured_at: now });
+        let recent = level.filter(|level| is_fresh(level, now));
+        let mut next = recent.unwrap_or(ConcurrencyLevel {
+            mean_seconds: seconds,
+            samples: 0,
+            measured_at: now,
+        });
         // A plain mean until there are enough samples for a running one.
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(next.samples + 1));
         next.mean_seconds += weight * (seconds - next.mean_seconds);
         next.samples = next.samples.saturating_add(1);
         next.measured_at = now;
         *level = Some(next);
-        self.reconsider(in_flight, now);
+        self.evaluate(in_flight, now);
     }
 
     /// Moves the limit when it is reached: to the best level, or one up to learn.
-    fn reconsider(&mut self, in_flight: u32, now: Instant) {
-        let since_look = now.saturating_duration_since(self.looked_at);
-        if in_flight < self.limit || since_look < LOOK_INTERVAL {
+    fn evaluate(&mut self, in_flight: u32, now: Instant) {
+        let since_evaluation = now.saturating_duration_since(self.evaluated_at);
+        if in_flight < self.limit || since_evaluation < EVALUATION_INTERVAL {
             return;
         }
-        self.looked_at = now;
-        let Some(own_power) = self.power(self.limit, now) else {
+        self.evaluated_at = now;
+        let Some(limit_power) = self.power(self.limit, now) else {
             return;
         };
         let best = self.best_level(now);
         let target = best + headroom(best);
         let best_power = self.power(best, now);
-        let is_better = target < self.limit && best_power > Some(own_power * POWER_MARGIN);
-        self.better_looks = if is_better { self.better_looks + 1 } else { 0 };
+        let is_better = target < self.limit && best_power > Some(limit_power * MIN_POWER_GAIN);
+        self.better_evaluations = if is_better { self.better_evaluations + 1 } else { 0 };
         let since_change = now.saturating_duration_since(self.changed_at);
-        if self.better_looks >= LOOKS_TO_LOWER {
+        if self.better_evaluations >= EVALUATIONS_TO_LOWER {
             self.set_limit(target, now);
         } else if !is_better && self.limit < self.slots && since_change >= PROBE_INTERVAL {
             self.set_limit(self.limit + 1, now);
@@ -143,9 +146,9 @@
     }
 
     fn set_limit(&mut self, limit: u32, now: Instant) {
-        self.limit = limit.max(SMALLEST_LIMIT);
+        self.limit = limit.max(MIN_LIMIT);
         self.changed_at = now;
-        self.better_looks = 0;
+        self.better_evaluations = 0;
     }
 
     /// The level of the greatest power among those that are known.
@@ -156,9 +159,9 @@
 
     /// Throughput over time of a request, when enough was measured at the level.
     fn power(&self, level: u32, now: Instant) -> Option<f64> {
-        let known = self.levels.get(level.checked_sub(1)? as usize)?.as_ref()?;
-        let is_known = known.samples >= FEWEST_SAMPLES && is_fresh(known, now);
-        is_known.then(|| f64::from(level) / known.mean_seconds.max(f64::MIN_POSITIVE).powi(2))
+        let recent = self.levels.get(level.checked_sub(1)? as usize)?.as_ref()?;
+        let is_known = recent.samples >= MIN_SAMPLES && is_fresh(recent, now);
+        is_known.then(|| f64::from(level) / recent.mean_seconds.max(f64::MIN_POSITIVE).powi(2))
     }
 }
 
@@ -168,8 +171,8 @@
     (f64::from(level).sqrt() / 2.0).ceil() as u32
 }
 
-fn is_fresh(level: &FlightLevel, now: Instant) -> bool {
-    now.saturating_duration_since(level.measured_at) <= LEVEL_LIFE
+fn is_fresh(level: &ConcurrencyLevel, now: Instant) -> bool {
+    now.saturating_duration_since(level.measured_at) <= LEVEL_TTL
 }
 
 #[cfg(test)]
@@ -185,14 +188,14 @@
 
     /// Runs an endpoint that shares `cores` among its requests, kept busy up to the limit or below
     /// it, and gives the limits over the last half of the time.
-    fn limits_of(cores: f64, slots: u32, outside: impl Fn(usize) -> f64) -> Vec<u32> {
+    fn simulate(cores: f64, slots: u32, outside: impl Fn(usize) -> f64) -> Vec<u32> {
         let start = Instant::now();
         let mut rng = StdRng::seed_from_u64(7);
         let mut limit = ConcurrencyLimit::new(slots, start);
         let mut limits = Vec::new();
         for step in 0..20_000 {
             let now = start + Duration::from_millis(5 * step as u64);
-            let in_flight = busy_level(&mut rng, limit.limit());
+            let in_flight = random_level(&mut rng, limit.limit());
             let share = (f64::from(in_flight) / cores).max(1.0);
             let noise = rng.random_range(0.8..1.2);
             let time = Duration::from_secs_f64(BASE * share * noise * outside(step));
@@ -205,7 +208,7 @@
     }
 
     /// At the limit in half of the cases, else anywhere below.
-    fn busy_level(rng: &mut impl Rng, limit: u32) -> u32 {
+    fn random_level(rng: &mut impl Rng, limit: u32) -> u32 {
         if rng.random_bool(0.5) { limit } else { rng.random_range(1..=limit) }
     }
 
@@ -215,19 +218,19 @@
 
     #[test]
     fn the_limit_finds_the_cores_behind_too_many_slots() {
-        let limits = limits_of(4.0, 16, |_| 1.0);
+        let limits = simulate(4.0, 16, |_| 1.0);
         assert!((4.0..=6.5).contains(&mean(&limits)), "{}", mean(&limits));
     }
 
     #[test]
     fn honest_slots_are_all_used() {
-        let limits = limits_of(8.0, 8, |_| 1.0);
+        let limits = simulate(8.0, 8, |_| 1.0);
         assert_eq!(limits.iter().min(), Some(&8));
     }
 
     #[test]
     fn a_slowdown_from_outside_takes_no_slots_away() {
-        let limits = limits_of(8.0, 8, |step| if (step / 1_500) % 2 == 0 { 1.0 } else { 1.8 });
+        let limits = simulate(8.0, 8, |step| if (step / 1_500) % 2 == 0 { 1.0 } else { 1.8 });
         assert!(mean(&limits) > 7.5, "{}", mean(&limits));
     }
 
@@ -241,7 +244,7 @@
             for step in 0..20_000_u64 {
                 let passed = if cores > 4.0 { 100_000 + 5 * step } else { 5 * step };
                 let now = start + Duration::from_millis(passed);
-                let in_flight = busy_level(&mut rng, limit.limit());
+                let in_flight = random_level(&mut rng, limit.limit());
                 let share = (f64::from(in_flight) / cores).max(1.0);
                 limit.on_response(in_flight, Duration::from_secs_f64(BASE * share), now);
             }
--- a/src/request/deadline_queue.rs
+++ b/src/request/deadline_queue.rs
@@ -57,22 +57,22 @@
     /// ```
     pub fn pop(&mut self) -> Option<QueuedRequest> {
         let (_, request) = self.requests.pop_first()?;
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         Some(request)
     }
 
-    /// Takes all requests whose deadline lies before `limit`.
+    /// Takes all requests whose deadline lies before `min_deadline`.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
     ///
-    /// assert!(DeadlineQueue::default().take_before(Instant::now()).is_empty());
+    /// assert!(DeadlineQueue::default().drain_before(Instant::now()).is_empty());
     /// ```
-    pub fn take_before(&mut self, limit: Instant) -> Vec<QueuedRequest> {
+    pub fn drain_before(&mut self, min_deadline: Instant) -> Vec<QueuedRequest> {
         let mut taken = Vec::new();
-        while self.requests.first_key_value().is_some_and(|((end, _), _)| *end < limit) {
+        while self.requests.first_key_value().is_some_and(|((end, _), _)| *end < min_deadline) {
             taken.extend(self.pop());
         }
         taken
@@ -91,7 +91,7 @@
         let Some(request) = self.requests.remove(&(deadline, ticket)) else {
             return false;
         };
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         true
     }
 
@@ -119,12 +119,12 @@
     /// assert!(DeadlineQueue::default().displace(Instant::now()).is_none());
     /// ```
     pub fn displace(&mut self, deadline: Instant) -> Option<QueuedRequest> {
-        let (heaviest, _) = self.by_caller.iter().max_by_key(|(_, count)| **count)?;
+        let (busiest, _) = self.by_caller.iter().max_by_key(|(_, count)| **count)?;
         let ahead = self.requests.range(..(deadline, TicketNumber::MAX)).rev();
-        let mut of_heaviest = ahead.filter(|(_, request)| request.caller == *heaviest);
-        let key = *of_heaviest.next()?.0;
+        let mut of_busiest = ahead.filter(|(_, request)| request.caller == *busiest);
+        let key = *of_busiest.next()?.0;
         let request = self.requests.remove(&key)?;
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         Some(request)
     }
 
@@ -133,9 +133,9 @@
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
     ///
-    /// assert_eq!(DeadlineQueue::default().len_of("desk"), 0);
+    /// assert_eq!(DeadlineQueue::default().caller_len("desk"), 0);
     /// ```
-    pub fn len_of(&self, caller: &str) -> usize {
+    pub fn caller_len(&self, caller: &str) -> usize {
         self.by_caller.get(caller).copied().unwrap_or(0)
     }
 
@@ -172,7 +172,7 @@
         self.requests.is_empty()
     }
 
-    fn forget_caller(&mut self, caller: &str) {
+    fn decrement_caller(&mut self, caller: &str) {
         if let Some(count) = self.by_caller.get_mut(caller) {
             *count -= 1;
             if *count == 0 {
@@ -200,7 +200,7 @@
         queue.push(request(2, now + Duration::from_secs(1)));
         assert_eq!(queue.len_before(now + Duration::from_secs(1)), 1);
         assert_eq!(queue.pop().unwrap().ticket, 2);
-        assert_eq!(queue.len_of("desk"), 1);
+        assert_eq!(queue.caller_len("desk"), 1);
     }
 
     #[test]
--- a/src/request/ejection.rs
+++ b/src/request/ejection.rs
@@ -9,9 +9,9 @@
 /// Failures in a row that eject an endpoint.
 const FAILURES_TO_EJECT: u32 = 5;
 /// First time out.
-const FIRST_SPAN: Duration = Duration::from_secs(1);
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
 /// Longest time out.
-const LONGEST_SPAN: Duration = Duration::from_secs(30);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
 /// What an endpoint's last answers say of its health.
 #[derive(Clone, Debug, Default)]
@@ -93,10 +93,10 @@
     pub fn on_failure(&mut self, now: Instant, may_eject: bool) {
         self.failures += 1;
         self.probing = false;
-        let again = self.ejected_until.is_some();
-        if again || (self.failures >= FAILURES_TO_EJECT && may_eject) {
-            let span = FIRST_SPAN * 2_u32.saturating_pow(self.ejections.min(10));
-            self.ejected_until = Some(now + span.min(LONGEST_SPAN));
+        let was_ejected = self.ejected_until.is_some();
+        if was_ejected || (self.failures >= FAILURES_TO_EJECT && may_eject) {
+            let ejection_time = BASE_EJECTION_TIME * 2_u32.saturating_pow(self.ejections.min(10));
+            self.ejected_until = Some(now + ejection_time.min(MAX_EJECTION_TIME));
             self.ejections += 1;
         }
     }
@@ -112,13 +112,13 @@
         let mut health = EndpointHealth::default();
         (0..5).for_each(|_| health.on_failure(now, true));
         assert!(!health.is_open(now));
-        let later = now + FIRST_SPAN;
+        let later = now + BASE_EJECTION_TIME;
         assert!(health.is_open(later));
         health.on_sent();
         assert!(!health.is_open(later));
         health.on_failure(later, false);
-        assert!(!health.is_open(later + FIRST_SPAN));
-        assert!(health.is_open(later + 2 * FIRST_SPAN));
+        assert!(!health.is_open(later + BASE_EJECTION_TIME));
+        assert!(health.is_open(later + 2 * BASE_EJECTION_TIME));
         health.on_success();
         assert!(!health.is_ejected());
     }
--- /dev/null
+++ b/src/request/expiring_id_map.rs
@@ -0,0 +1,122 @@
+//! Request ids with what is known of each, kept for a bounded time.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use crate::ids::RequestId;
+
+#[derive(Clone, Debug)]
+struct ExpiringState<S> {
+    state: S,
+    expires_at: Duration,
+}
+
+/// Ids with a state each; every id is kept until its wall-clock time has come.
+#[derive(Clone, Debug)]
+pub struct ExpiringIdMap<S> {
+    ids: HashMap<RequestId, ExpiringState<S>>,
+}
+
+impl<S> Default for ExpiringIdMap<S> {
+    fn default() -> ExpiringIdMap<S> {
+        ExpiringIdMap { ids: HashMap::new() }
+    }
+}
+
+impl<S> ExpiringIdMap<S> {
+    /// What is known of an id.
+    ///
+    /// ```
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// assert_eq!(ExpiringIdMap::<u32>::default().get(&uuid::Uuid::now_v7()), None);
+    /// ```
+    pub fn get(&self, id: &RequestId) -> Option<&S> {
+        self.ids.get(id).map(|entry| &entry.state)
+    }
+
+    /// Sets what is known of an id, and the wall-clock time until which it is kept at least.
+    ///
+    /// ```
+    /// use std::time::Duration;
+    ///
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// let mut ids = ExpiringIdMap::default();
+    /// let id = uuid::Uuid::now_v7();
+    /// ids.set(id, 7, Duration::MAX);
+    /// assert_eq!(ids.get(&id), Some(&7));
+    /// ```
+    pub fn set(&mut self, id: RequestId, state: S, expires_at: Duration) {
+        self.ids.insert(id, ExpiringState { state, expires_at });
+    }
+
+    /// Changes what is known of an id that is kept; the time until which it is kept stays.
+    ///
+    /// ```
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// ExpiringIdMap::default().change(&uuid::Uuid::now_v7(), 7);
+    /// ```
+    pub fn change(&mut self, id: &RequestId, state: S) {
+        if let Some(entry) = self.ids.get_mut(id) {
+            entry.state = state;
+        }
+    }
+
+    /// Forgets an id.
+    ///
+    /// ```
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// ExpiringIdMap::<u32>::default().remove(&uuid::Uuid::now_v7());
+    /// ```
+    pub fn remove(&mut self, id: &RequestId) {
+        self.ids.remove(id);
+    }
+
+    /// Forgets ids whose time has come by `now`, but for those that `is_in_use` holds.
+    ///
+    /// ```
+    /// use std::time::Duration;
+    ///
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// let mut ids = ExpiringIdMap::default();
+    /// ids.set(uuid::Uuid::now_v7(), 7, Duration::from_secs(1));
+    /// ids.remove_expired(Duration::from_secs(1), |_| false);
+    /// assert!(ids.is_empty());
+    /// ```
+    pub fn remove_expired(&mut self, now: Duration, is_in_use: impl Fn(&S) -> bool) {
+        self.ids.retain(|_, entry| entry.expires_at > now || is_in_use(&entry.state));
+    }
+
+    /// All ids with what is known of each and the time until which it is kept.
+    ///
+    /// ```
+    /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
+    ///
+    /// assert_eq!(ExpiringIdMap::<u32>::default().iter().count(), 0);
+    /// ```
+    pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &S, Duration)> {
+        self.ids.iter().map(|(id, entry)| (id, &entry.state, entry.expires_at))
+    }
+
+    /// Number of ids.
+    ///
+    /// ```
+    /// assert_eq!(greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default().len(), 0);
+    /// ```
+    pub fn len(&self) -> usize {
+        self.ids.len()
+    }
+
+    /// Whether no id is kept.
+    ///
+    /// ```
+    /// assert!(greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default().is_empty());
+    /// ```
+    pub fn is_empty(&self) -> bool {
+        self.ids.is_empty()
+    }
+}
--- a/src/request/job.rs
+++ b/src/request/job.rs
@@ -14,11 +14,11 @@
 use crate::ids::WorkerId;
 
 /// Largest number of tasks of one job.
-pub const LARGEST_JOB: usize = 256;
+pub const MAX_JOB_TASKS: usize = 256;
 /// Longest job id, in bytes.
-pub const LONGEST_JOB_ID: usize = 128;
+pub const MAX_JOB_ID_BYTES: usize = 128;
 /// Distinct workers on which a task may fail before it counts as failed.
-pub const FAILED_WORKERS_LIMIT: usize = 3;
+pub const MAX_FAILED_WORKERS: usize = 3;
 
 /// One task of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -154,8 +154,9 @@
     /// assert!(!row.is_current(&key, "w1"));
     /// ```
     pub fn is_current(&self, attempt: &AttemptKey, worker: &str) -> bool {
-        let is_here = matches!(&self.state, TaskState::Committed { worker: on } if on == worker);
-        is_here && self.attempt == attempt.attempt
+        let is_on_worker =
+            matches!(&self.state, TaskState::Committed { worker: on } if on == worker);
+        is_on_worker && self.attempt == attempt.attempt
     }
 
     /// Takes in a failure on `worker`: back to the queue, or failed for good after enough workers.
@@ -176,7 +177,7 @@
         if !self.failed_on.iter().any(|known| known == worker) {
             self.failed_on.push(worker.to_string());
         }
-        self.state = if self.failed_on.len() >= FAILED_WORKERS_LIMIT {
+        self.state = if self.failed_on.len() >= MAX_FAILED_WORKERS {
             TaskState::Ended(TaskEnd::Failed {
                 error: error.to_string(),
                 workers: self.failed_on.clone(),
@@ -309,17 +310,17 @@
 /// ```
 pub fn validate_spec(spec: &JobSpec) -> Vec<String> {
     let mut findings = Vec::new();
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if spec.team.is_empty() || !spec.team.chars().all(is_plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    if spec.team.is_empty() || !spec.team.chars().all(is_allowed) {
         findings.push("team: write the characters a-z, A-Z, 0-9, '-', '_', '.', ':'".to_string());
     }
-    if spec.id.is_empty() || spec.id.len() > LONGEST_JOB_ID || !spec.id.chars().all(is_plain) {
+    if spec.id.is_empty() || spec.id.len() > MAX_JOB_ID_BYTES || !spec.id.chars().all(is_allowed) {
         findings.push(format!(
-            "id: write 1 to {LONGEST_JOB_ID} of the characters a-z, A-Z, 0-9, '-', '_', '.', ':'"
+            "id: write 1 to {MAX_JOB_ID_BYTES} of the characters a-z, A-Z, 0-9, '-', '_', '.', ':'"
         ));
     }
-    if spec.tasks.is_empty() || spec.tasks.len() > LARGEST_JOB {
-        findings.push(format!("tasks: give 1 to {LARGEST_JOB} tasks, not {}", spec.tasks.len()));
+    if spec.tasks.is_empty() || spec.tasks.len() > MAX_JOB_TASKS {
+        findings.push(format!("tasks: give 1 to {MAX_JOB_TASKS} tasks, not {}", spec.tasks.len()));
     }
     for (index, task) in spec.tasks.iter().enumerate() {
         if task.resources.millicores == 0 || task.resources.memory_mib == 0 {
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -3,7 +3,7 @@
 pub mod concurrency_limit;
 pub mod deadline_queue;
 pub mod ejection;
-pub mod id_memory;
+pub mod expiring_id_map;
 pub mod job;
 pub mod outcome;
 pub mod placement_policy;
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -31,8 +31,8 @@
     /// ```
     /// use greengagearch::request::outcome::EndpointResponse;
     ///
-    /// let answer = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
-    /// assert!(answer.is_intact());
+    /// let response = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
+    /// assert!(response.is_intact());
     /// ```
     pub fn new(status: u16, content_type: String, body: Vec<u8>) -> EndpointResponse {
         let digest = body_digest(&body);
@@ -44,9 +44,9 @@
     /// ```
     /// use greengagearch::request::outcome::EndpointResponse;
     ///
-    /// let mut answer = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
-    /// answer.body.pop();
-    /// assert!(!answer.is_intact());
+    /// let mut response = EndpointResponse::new(200, "text/plain".into(), b"ok".to_vec());
+    /// response.body.pop();
+    /// assert!(!response.is_intact());
     /// ```
     pub fn is_intact(&self) -> bool {
         body_digest(&self.body) == self.digest
@@ -278,7 +278,7 @@
 impl fmt::Display for RequestOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RequestOutcome::Answered(answer) => write!(f, "answered/{}", answer.status),
+            RequestOutcome::Answered(response) => write!(f, "answered/{}", response.status),
             RequestOutcome::NotRun { reason, .. } => write!(f, "not_run/{}", reason.name()),
             RequestOutcome::Unknown(reason) => write!(f, "unknown/{}", reason.name()),
         }
--- a/src/request/placement_policy.rs
+++ b/src/request/placement_policy.rs
@@ -21,7 +21,7 @@
 pub const LOAD_SLACK: f64 = 0.5;
 /// Widths of doubt by which an estimated slowdown is raised: a pair that is hardly known counts as
 /// worse than one that is known to be as bad.
-const DOUBT_WIDTHS: f64 = 0.5;
+const UNCERTAINTY_WEIGHT: f64 = 0.5;
 
 /// A way of choosing among the workers that have room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -191,9 +191,13 @@
 
 /// Chooses one of the workers that have room for a task of a kind; gives its position.
 pub trait PlacementPolicy: Send + Sync {
-    /// Chooses; nothing only when `roomy` is empty.
-    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, rng: &mut dyn Rng)
-    -> Option<usize>;
+    /// Chooses; nothing only when `candidates` is empty.
+    fn choose(
+        &self,
+        candidates: &[CandidateWorker<'_>],
+        kind: &str,
+        rng: &mut dyn Rng,
+    ) -> Option<usize>;
 
     /// Must be told of the workers before the first choice among them.
     fn prepare(&self, _views: &mut [WorkerView]) {}
@@ -232,34 +236,55 @@
 }
 
 impl PlacementPolicy for RandomPlacement {
-    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, rng: &mut dyn Rng) -> Option<usize> {
-        if roomy.is_empty() {
+    fn choose(
+        &self,
+        candidates: &[CandidateWorker<'_>],
+        _: &str,
+        rng: &mut dyn Rng,
+    ) -> Option<usize> {
+        if candidates.is_empty() {
             return None;
         }
-        roomy.get(rng.random_range(0..roomy.len())).map(|one| one.0)
+        candidates.get(rng.random_range(0..candidates.len())).map(|one| one.0)
     }
 }
 
 impl PlacementPolicy for FirstFit {
-    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
-        roomy.first().map(|one| one.0)
+    fn choose(
+        &self,
+        candidates: &[CandidateWorker<'_>],
+        _: &str,
+        _: &mut dyn Rng,
+    ) -> Option<usize> {
+        candidates.first().map(|one| one.0)
     }
 }
 
 impl PlacementPolicy for LeastLoaded {
-    fn choose(&self, roomy: &[CandidateWorker<'_>], _: &str, _: &mut dyn Rng) -> Option<usize> {
-        let shares = roomy.iter().map(|(index, view)| (*index, view.committed_share()));
+    fn choose(
+        &self,
+        candidates: &[CandidateWorker<'_>],
+        _: &str,
+        _: &mut dyn Rng,
+    ) -> Option<usize> {
+        let shares = candidates.iter().map(|(index, view)| (*index, view.committed_share()));
         shares.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(index, _)| index)
     }
 }
 
 impl PlacementPolicy for PairwisePlacement {
-    fn choose(&self, roomy: &[CandidateWorker<'_>], kind: &str, _: &mut dyn Rng) -> Option<usize> {
-        let shares: Vec<f64> = roomy.iter().map(|(_, view)| view.committed_share()).collect();
+    fn choose(
+        &self,
+        candidates: &[CandidateWorker<'_>],
+        kind: &str,
+        _: &mut dyn Rng,
+    ) -> Option<usize> {
+        let shares: Vec<f64> = candidates.iter().map(|(_, view)| view.committed_share()).collect();
         let least = shares.iter().copied().fold(f64::INFINITY, f64::min);
-        let mut added = AddedSlowdowns { model: &self.model, kind, known: HashMap::new() };
-        let costs = roomy.iter().zip(&shares).filter(|(_, share)| **share <= least + LOAD_SLACK);
-        let costs = costs.map(|((index, view), share)| (*index, added.pain(view), *share));
+        let mut added = AddedSlowdowns { model: &self.model, kind, by_service: HashMap::new() };
+        let costs =
+            candidates.iter().zip(&shares).filter(|(_, share)| **share <= least + LOAD_SLACK);
+        let costs = costs.map(|((index, view), share)| (*index, added.cost(view), *share));
         let best = costs.min_by(|a, b| a.1.total_cmp(&b.1).then(a.2.total_cmp(&b.2)));
         best.map(|(index, _, _)| index)
     }
@@ -283,22 +308,22 @@
 struct AddedSlowdowns<'a> {
     model: &'a InterferenceModel,
     kind: &'a str,
-    known: HashMap<&'a str, f64>,
+    by_service: HashMap<&'a str, f64>,
 }
 
 impl<'a> AddedSlowdowns<'a> {
     /// By how much the services of a worker would suffer more. Pain grows with the square of a
     /// service's slowdown, so that it is spread rather than heaped up.
-    fn pain(&mut self, view: &'a WorkerView) -> f64 {
+    fn cost(&mut self, view: &'a WorkerView) -> f64 {
         let services = view.services.iter().zip(&view.slowdowns);
         services.map(|(service, now)| (now + self.of(service)).powi(2) - now.powi(2)).sum()
     }
 
     fn of(&mut self, service: &'a str) -> f64 {
         let (model, kind) = (self.model, self.kind);
-        *self.known.entry(service).or_insert_with(|| {
+        *self.by_service.entry(service).or_insert_with(|| {
             let estimate = model.estimate(service, kind);
-            estimate.slowdown + DOUBT_WIDTHS * estimate.variance.sqrt()
+            estimate.slowdown + UNCERTAINTY_WEIGHT * estimate.variance.sqrt()
         })
     }
 }
@@ -322,9 +347,9 @@
     rng: &mut dyn Rng,
 ) -> Option<usize> {
     let numbered = views.iter().enumerate();
-    let roomy: Vec<CandidateWorker<'_>> =
+    let candidates: Vec<CandidateWorker<'_>> =
         numbered.filter(|(_, view)| view.has_room(amount)).collect();
     let preferred: Vec<CandidateWorker<'_>> =
-        roomy.iter().copied().filter(|(_, view)| !avoid.contains(&view.worker)).collect();
-    policy.choose(if preferred.is_empty() { &roomy } else { &preferred }, kind, rng)
+        candidates.iter().copied().filter(|(_, view)| !avoid.contains(&view.worker)).collect();
+    policy.choose(if preferred.is_empty() { &candidates } else { &preferred }, kind, rng)
 }
--- a/src/request/pool_endpoint.rs
+++ b/src/request/pool_endpoint.rs
@@ -16,9 +16,9 @@
 /// Weight of the newest sample in the running mean of times.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// How long a report of other entries' requests at an endpoint is believed.
-const REPORT_LIFE: Duration = Duration::from_millis(100);
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(100);
 /// Shortest pause before an endpoint that refused for want of slots is tried again.
-const SHORTEST_HOLD: Duration = Duration::from_millis(2);
+const MIN_FULL_TIME: Duration = Duration::from_millis(2);
 
 /// Names one run of one endpoint's agent and the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -112,10 +112,10 @@
 pub struct PoolEndpoint {
     domain: DomainName,
     slots: u32,
-    own: u32,
+    own_in_flight: u32,
     /// Requests of other entries, as far as they are known.
-    foreign: u32,
-    foreign_until: Instant,
+    other_in_flight: u32,
+    other_valid_until: Instant,
     leaving: bool,
     health: EndpointHealth,
     mean_seconds: f64,
@@ -136,9 +136,9 @@
         PoolEndpoint {
             domain,
             slots: 0,
-            own: 0,
-            foreign: 0,
-            foreign_until: now,
+            own_in_flight: 0,
+            other_in_flight: 0,
+            other_valid_until: now,
             leaving: false,
             health: EndpointHealth::default(),
             mean_seconds,
@@ -200,13 +200,13 @@
     /// Takes in what an answer says of the endpoint.
     pub fn on_load(&mut self, load: EndpointLoad, now: Instant) {
         self.slots = load.slots;
-        self.foreign = load.in_flight.saturating_sub(self.own);
-        self.foreign_until = now + REPORT_LIFE;
+        self.other_in_flight = load.in_flight.saturating_sub(self.own_in_flight);
+        self.other_valid_until = now + LOAD_REPORT_TTL;
     }
 
     /// Takes a slot for a request.
     pub fn on_sent(&mut self) {
-        self.own += 1;
+        self.own_in_flight += 1;
         self.health.on_sent();
     }
 
@@ -218,17 +218,17 @@
         may_eject: bool,
         now: Instant,
     ) {
-        self.own = self.own.saturating_sub(1);
+        self.own_in_flight = self.own_in_flight.saturating_sub(1);
         match result {
             SlotResult::Success(time) => {
-                self.mean_seconds = blend(self.mean_seconds, time);
+                self.mean_seconds = moving_average(self.mean_seconds, time);
                 self.health.on_success();
             }
             SlotResult::Failure => self.health.on_failure(now, may_eject),
             SlotResult::Full => {
-                let hold = pool_mean / self.slots.max(1);
-                self.foreign = self.slots.saturating_sub(self.own);
-                self.foreign_until = now + hold.max(SHORTEST_HOLD);
+                let full_time = pool_mean / self.slots.max(1);
+                self.other_in_flight = self.slots.saturating_sub(self.own_in_flight);
+                self.other_valid_until = now + full_time.max(MIN_FULL_TIME);
                 self.health.on_neutral();
             }
             SlotResult::Leaving => self.leaving = true,
@@ -238,8 +238,8 @@
 
     /// Requests in flight, of this entry and, as far as they are known, of others.
     pub fn in_use(&self, now: Instant) -> u32 {
-        let foreign = if now < self.foreign_until { self.foreign } else { 0 };
-        self.own + foreign
+        let other_in_flight = if now < self.other_valid_until { self.other_in_flight } else { 0 };
+        self.own_in_flight + other_in_flight
     }
 }
 
@@ -248,11 +248,11 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use greengagearch::request::pool_endpoint::blend;
+/// use greengagearch::request::pool_endpoint::moving_average;
 ///
-/// assert_eq!(blend(1.0, Duration::from_secs(2)), 1.1);
+/// assert_eq!(moving_average(1.0, Duration::from_secs(2)), 1.1);
 /// ```
-pub fn blend(mean: f64, sample: Duration) -> f64 {
+pub fn moving_average(mean: f64, sample: Duration) -> f64 {
     mean + SAMPLE_WEIGHT * (sample.as_secs_f64() - mean)
 }
 
@@ -276,7 +276,7 @@
         let mut endpoint = PoolEndpoint::new("a".to_string(), 0.005, now);
         endpoint.on_report(&report(2), now);
         assert!(!endpoint.is_open(now));
-        assert!(endpoint.is_open(now + REPORT_LIFE));
+        assert!(endpoint.is_open(now + LOAD_REPORT_TTL));
     }
 
     #[test]
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -11,7 +11,7 @@
 
 use crate::ids::LeaseEpoch;
 use crate::ids::RequestId;
-use crate::request::id_memory::IdMemory;
+use crate::request::expiring_id_map::ExpiringIdMap;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
 use crate::request::request_id::MAX_CLOCK_SKEW;
@@ -59,7 +59,8 @@
     /// Epoch of the lease under which the journal was written.
     pub epoch: LeaseEpoch,
     /// Wall-clock time from which every dispatch is remembered.
-    pub remembers_since: Duration,
+    #[serde(rename = "remembers_since")]
+    pub complete_since: Duration,
     /// Ids that were run, each with the time at which it may be forgotten.
     pub ids: Vec<(RequestId, Duration)>,
 }
@@ -80,7 +81,7 @@
     pub fn answer(&self, id: &RequestId, id_time: Duration) -> SettleAnswer {
         if self.ids.iter().any(|(known, _)| known == id) {
             SettleAnswer::Ended(RequestOutcome::Unknown(UnknownReason::AnswerLost))
-        } else if reaches_back(self.remembers_since, id_time) {
+        } else if is_complete_for(self.complete_since, id_time) {
             SettleAnswer::NeverRun
         } else {
             SettleAnswer::CannotTell
@@ -91,16 +92,16 @@
 /// Whether a memory that begins at `since` holds every order for an id whose own time is `id_time`:
 /// an id is accepted up to one skew ahead of an entry's clock, which may itself be one skew ahead
 /// of the agent's.
-fn reaches_back(since: Duration, id_time: Duration) -> bool {
+fn is_complete_for(since: Duration, id_time: Duration) -> bool {
     id_time >= since + 2 * MAX_CLOCK_SKEW
 }
 
 /// Ids of non-idempotent requests at one agent.
 #[derive(Debug, Default)]
 pub struct RequestJournal {
-    memory: IdMemory<JournalState>,
+    ids: ExpiringIdMap<JournalState>,
     /// Wall-clock time from which every dispatch is remembered.
-    remembers_since: Duration,
+    complete_since: Duration,
 }
 
 impl RequestJournal {
@@ -114,7 +115,7 @@
     /// assert_eq!(RequestJournal::new(Duration::ZERO).len(), 0);
     /// ```
     pub fn new(now: Duration) -> RequestJournal {
-        RequestJournal { memory: IdMemory::default(), remembers_since: now }
+        RequestJournal { ids: ExpiringIdMap::default(), complete_since: now }
     }
 
     /// Says that every dispatch from `time` on is remembered here, and none before for certain.
@@ -127,7 +128,7 @@
     /// RequestJournal::new(Duration::ZERO).set_complete_from(Duration::from_secs(1));
     /// ```
     pub fn set_complete_from(&mut self, time: Duration) {
-        self.remembers_since = self.remembers_since.max(time);
+        self.complete_since = self.complete_since.max(time);
     }
 
     /// Says that no run before this one ever took an order, so that every id is vouched for.
@@ -140,7 +141,7 @@
     /// RequestJournal::new(Duration::from_secs(9)).set_complete();
     /// ```
     pub fn set_complete(&mut self) {
-        self.remembers_since = Duration::ZERO;
+        self.complete_since = Duration::ZERO;
     }
 
     /// What the next run of the agent has to know; nothing may be begun here any more.
@@ -153,12 +154,12 @@
     /// assert!(RequestJournal::new(Duration::ZERO).export_handover(1).ids.is_empty());
     /// ```
     pub fn export_handover(&self, epoch: LeaseEpoch) -> JournalHandover {
-        let ran = self.memory.iter().filter(|(_, state, _)| {
+        let ran = self.ids.iter().filter(|(_, state, _)| {
             matches!(state, JournalState::Running | JournalState::Ended(_))
         });
         JournalHandover {
             epoch,
-            remembers_since: self.remembers_since,
+            complete_since: self.complete_since,
             ids: ran.map(|(id, _, expires_at)| (*id, expires_at)).collect(),
         }
     }
@@ -174,11 +175,11 @@
     /// RequestJournal::new(Duration::from_secs(9)).import_handover(before);
     /// ```
     pub fn import_handover(&mut self, handover: JournalHandover) {
-        self.remembers_since = handover.remembers_since;
+        self.complete_since = handover.complete_since;
         let outcome = RequestOutcome::Unknown(UnknownReason::AnswerLost);
         for (id, expires_at) in handover.ids {
-            if self.memory.get(&id).is_none() {
-                self.memory.set(id, JournalState::Ended(outcome.clone()), expires_at);
+            if self.ids.get(&id).is_none() {
+                self.ids.set(id, JournalState::Ended(outcome.clone()), expires_at);
             }
         }
     }
@@ -202,12 +203,12 @@
         epoch: LeaseEpoch,
         expires_at: Duration,
     ) -> JournalDecision {
-        match self.memory.get(&id) {
+        match self.ids.get(&id) {
             Some(JournalState::Running) => JournalDecision::Wait,
             Some(JournalState::Ended(outcome)) => JournalDecision::Ended(outcome.clone()),
             Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalDecision::Refuse,
             Some(JournalState::Tombstone(_)) | None => {
-                self.memory.set(id, JournalState::Running, expires_at);
+                self.ids.set(id, JournalState::Running, expires_at);
                 JournalDecision::Run
             }
         }
@@ -230,9 +231,9 @@
     /// ```
     pub fn end(&mut self, id: RequestId, outcome: &RequestOutcome) {
         if let RequestOutcome::NotRun { .. } = outcome {
-            self.memory.remove(&id);
+            self.ids.remove(&id);
         } else {
-            self.memory.change(&id, JournalState::Ended(outcome.clone()));
+            self.ids.change(&id, JournalState::Ended(outcome.clone()));
         }
     }
 
@@ -259,14 +260,14 @@
         id_time: Duration,
         expires_at: Duration,
     ) -> SettleAnswer {
-        let epoch = match self.memory.get(&id) {
+        let epoch = match self.ids.get(&id) {
             Some(JournalState::Running) => return SettleAnswer::Running,
             Some(JournalState::Ended(outcome)) => return SettleAnswer::Ended(outcome.clone()),
             Some(JournalState::Tombstone(newest)) => epoch.max(*newest),
             None => epoch,
         };
-        self.memory.set(id, JournalState::Tombstone(epoch), expires_at);
-        if reaches_back(self.remembers_since, id_time) {
+        self.ids.set(id, JournalState::Tombstone(epoch), expires_at);
+        if is_complete_for(self.complete_since, id_time) {
             SettleAnswer::NeverRun
         } else {
             SettleAnswer::CannotTell
@@ -283,7 +284,7 @@
     /// RequestJournal::new(Duration::ZERO).remove_expired(Duration::from_secs(1));
     /// ```
     pub fn remove_expired(&mut self, now: Duration) {
-        self.memory.remove_expired(now, |state| matches!(state, JournalState::Running));
+        self.ids.remove_expired(now, |state| matches!(state, JournalState::Running));
     }
 
     /// Number of ids that are remembered.
@@ -296,7 +297,7 @@
     /// assert_eq!(RequestJournal::new(Duration::ZERO).len(), 0);
     /// ```
     pub fn len(&self) -> usize {
-        self.memory.len()
+        self.ids.len()
     }
 
     /// Whether no id is remembered.
@@ -309,7 +310,7 @@
     /// assert!(RequestJournal::new(Duration::ZERO).is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
-        self.memory.is_empty()
+        self.ids.is_empty()
     }
 }
 
--- a/src/request/request_ledger.rs
+++ b/src/request/request_ledger.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::BodyDigest;
 use crate::ids::RequestId;
-use crate::request::id_memory::IdMemory;
+use crate::request::expiring_id_map::ExpiringIdMap;
 use crate::request::outcome::RequestOutcome;
 
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
 /// Ids of one owner, with what became of them.
 #[derive(Debug, Default)]
 pub struct RequestLedger {
-    memory: IdMemory<LedgerEntry>,
+    ids: ExpiringIdMap<LedgerEntry>,
 }
 
 impl RequestLedger {
@@ -60,7 +60,7 @@
         digest: BodyDigest,
         expires_at: Duration,
     ) -> LedgerDecision {
-        if let Some(entry) = self.memory.get(&id) {
+        if let Some(entry) = self.ids.get(&id) {
             return match &entry.state {
                 _ if entry.digest != digest => LedgerDecision::Conflict,
                 LedgerState::InFlight => LedgerDecision::Wait,
@@ -68,7 +68,7 @@
             };
         }
         let entry = LedgerEntry { digest, state: LedgerState::InFlight };
-        self.memory.set(id, entry, expires_at);
+        self.ids.set(id, entry, expires_at);
         LedgerDecision::Run
     }
 
@@ -91,10 +91,10 @@
     /// ```
     pub fn end(&mut self, id: RequestId, outcome: &RequestOutcome) {
         if let RequestOutcome::NotRun { .. } = outcome {
-            self.memory.remove(&id);
-        } else if let Some(digest) = self.memory.get(&id).map(|entry| entry.digest) {
+            self.ids.remove(&id);
+        } else if let Some(digest) = self.ids.get(&id).map(|entry| entry.digest) {
             let state = LedgerState::Ended(outcome.clone());
-            self.memory.change(&id, LedgerEntry { digest, state });
+            self.ids.change(&id, LedgerEntry { digest, state });
         }
     }
 
@@ -110,7 +110,7 @@
     /// assert_eq!(ledger.len(), 0);
     /// ```
     pub fn remove_expired(&mut self, now: Duration) {
-        self.memory.remove_expired(now, |entry| matches!(entry.state, LedgerState::InFlight));
+        self.ids.remove_expired(now, |entry| matches!(entry.state, LedgerState::InFlight));
     }
 
     /// Number of ids that are remembered.
@@ -119,7 +119,7 @@
     /// assert_eq!(greengagearch::request::request_ledger::RequestLedger::default().len(), 0);
     /// ```
     pub fn len(&self) -> usize {
-        self.memory.len()
+        self.ids.len()
     }
 
     /// Whether no id is remembered.
@@ -128,7 +128,7 @@
     /// assert!(greengagearch::request::request_ledger::RequestLedger::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
-        self.memory.is_empty()
+        self.ids.is_empty()
     }
 }
 
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -1,7 +1,7 @@
 //! A budget that bounds retries to a share of the requests.
 
 /// Retries that may be saved up in quiet times.
-const LARGEST_BALANCE: f64 = 20.0;
+const MAX_BALANCE: f64 = 20.0;
 
 /// A token bucket filled by requests: each request adds a share of a retry, each retry takes one.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// assert!(budget.try_take());
     /// ```
     pub fn new(share: f64) -> RetryBudget {
-        RetryBudget { share, balance: LARGEST_BALANCE }
+        RetryBudget { share, balance: MAX_BALANCE }
     }
 
     /// Changes the share; the balance stays.
@@ -38,7 +38,7 @@
     /// greengagearch::request::retry_budget::RetryBudget::new(0.1).on_request();
     /// ```
     pub fn on_request(&mut self) {
-        self.balance = (self.balance + self.share).min(LARGEST_BALANCE);
+        self.balance = (self.balance + self.share).min(MAX_BALANCE);
     }
 
     /// Takes one retry, if there is one left.
--- a/src/request/routing.rs
+++ b/src/request/routing.rs
@@ -68,19 +68,22 @@
 /// assert_eq!(choose(RoutingPolicy::LeastLoaded, &[busy, idle], &mut rng), Some(1));
 /// ```
 pub fn choose<R: Rng>(
-    way: RoutingPolicy,
+    policy: RoutingPolicy,
     candidates: &[RouteCandidate],
     rng: &mut R,
 ) -> Option<usize> {
-    match way {
-        RoutingPolicy::Random => draw(candidates, rng).map(|candidate| candidate.index),
+    match policy {
+        RoutingPolicy::Random => random_candidate(candidates, rng).map(|candidate| candidate.index),
         RoutingPolicy::LeastLoaded => least_loaded(candidates, rng),
         RoutingPolicy::TwoChoices => two_choices(candidates, rng),
         RoutingPolicy::LocalFirst => local_first(candidates, rng),
     }
 }
 
-fn draw<'a, R: Rng>(candidates: &'a [RouteCandidate], rng: &mut R) -> Option<&'a RouteCandidate> {
+fn random_candidate<'a, R: Rng>(
+    candidates: &'a [RouteCandidate],
+    rng: &mut R,
+) -> Option<&'a RouteCandidate> {
     if candidates.is_empty() {
         return None;
     }
@@ -93,8 +96,8 @@
         return None;
     }
     let (before, after) = candidates.split_at(rng.random_range(0..candidates.len()));
-    let turned = after.iter().chain(before);
-    turned.min_by(|a, b| a.load.total_cmp(&b.load)).map(|candidate| candidate.index)
+    let rotated = after.iter().chain(before);
+    rotated.min_by(|a, b| a.load.total_cmp(&b.load)).map(|candidate| candidate.index)
 }
 
 /// The two are different: drawn with replacement, a slow endpoint would win against itself.
@@ -133,11 +136,11 @@
             .map(|index| candidate(index, true, if index == 2 { 5.0 } else { 1.0 }))
             .collect();
         let mut rng = StdRng::seed_from_u64(1);
-        for way in
+        for policy in
             [RoutingPolicy::TwoChoices, RoutingPolicy::LocalFirst, RoutingPolicy::LeastLoaded]
         {
             for _ in 0..200 {
-                assert_ne!(choose(way, &candidates, &mut rng), Some(2), "{way:?}");
+                assert_ne!(choose(policy, &candidates, &mut rng), Some(2), "{policy:?}");
             }
         }
     }
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -19,24 +19,24 @@
 use crate::request::pool_endpoint::EndpointStatus;
 use crate::request::pool_endpoint::PoolEndpoint;
 use crate::request::pool_endpoint::SlotResult;
-use crate::request::pool_endpoint::blend;
+use crate::request::pool_endpoint::moving_average;
 use crate::request::retry_budget::RetryBudget;
 use crate::request::routing::RouteCandidate;
 use crate::request::routing::RoutingPolicy;
 use crate::request::routing::choose;
 
 /// Assumed time of a request before any was measured.
-const FIRST_TIME_GUESS: Duration = Duration::from_millis(5);
+const INITIAL_MEAN_TIME: Duration = Duration::from_millis(5);
 /// Part of the expected wait and of the expected time that is added before both are held against a
 /// deadline: an estimate that is right on the average makes half of the answers late.
 const WAIT_MARGIN: f64 = 1.05;
-const TIME_MARGIN: f64 = 1.25;
+const RESPONSE_TIME_MARGIN: f64 = 1.25;
 /// Share of the mean time that must be left when a waiting request gets its slot.
-const FEWEST_TIME: f64 = 0.9;
+const MIN_TIME_LEFT: f64 = 0.9;
 /// Requests of one caller that may always wait.
-const SMALLEST_SHARE: usize = 4;
+const MIN_CALLER_SHARE: usize = 4;
 /// When to come back after a refusal for want of endpoints.
-const NO_ENDPOINT_HINT: Duration = Duration::from_millis(500);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What a request that asks for a slot gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 /// Endpoints and queue of one service.
 #[derive(Debug)]
 pub struct ServicePool {
-    way: RoutingPolicy,
+    policy: RoutingPolicy,
     domain: DomainName,
     endpoints: BTreeMap<EndpointKey, PoolEndpoint>,
     queue: DeadlineQueue,
@@ -85,13 +85,13 @@
     /// let pool = ServicePool::new(RoutingPolicy::LocalFirst, "wien-a".into(), 0.1);
     /// assert_eq!(pool.queue_len(), 0);
     /// ```
-    pub fn new(way: RoutingPolicy, domain: DomainName, retry_share: f64) -> ServicePool {
+    pub fn new(policy: RoutingPolicy, domain: DomainName, retry_share: f64) -> ServicePool {
         ServicePool {
-            way,
+            policy,
             domain,
             endpoints: BTreeMap::new(),
             queue: DeadlineQueue::default(),
-            mean_seconds: FIRST_TIME_GUESS.as_secs_f64(),
+            mean_seconds: INITIAL_MEAN_TIME.as_secs_f64(),
             retry_budget: RetryBudget::new(retry_share),
         }
     }
@@ -104,8 +104,8 @@
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// pool.set_rules(RoutingPolicy::LocalFirst, 0.2);
     /// ```
-    pub fn set_rules(&mut self, way: RoutingPolicy, retry_share: f64) {
-        self.way = way;
+    pub fn set_rules(&mut self, policy: RoutingPolicy, retry_share: f64) {
+        self.policy = policy;
         self.retry_budget.set_share(retry_share);
     }
 
@@ -162,19 +162,25 @@
     /// # use greengagearch::request::pool_endpoint::{AgentLocation, EndpointReport};
     /// # use greengagearch::request::service_pool::ServicePool;
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
-    /// let place = AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
+    /// let location = AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
     /// let report = EndpointReport { endpoint: "r1".into(), service: "spots".into(), slots: 8,
     ///     in_flight: 0, leaving: false };
-    /// pool.on_report(&place, &[report], Instant::now());
+    /// pool.on_report(&location, &[report], Instant::now());
     /// assert_eq!(pool.endpoint_count(), 1);
     /// ```
-    pub fn on_report(&mut self, place: &AgentLocation, reports: &[EndpointReport], now: Instant) {
+    pub fn on_report(
+        &mut self,
+        location: &AgentLocation,
+        reports: &[EndpointReport],
+        now: Instant,
+    ) {
         self.endpoints.retain(|key, _| {
             let is_reported = reports.iter().any(|report| report.endpoint == key.endpoint);
-            key.worker != place.worker || (key.incarnation == place.incarnation && is_reported)
+            key.worker != location.worker
+                || (key.incarnation == location.incarnation && is_reported)
         });
         for report in reports {
-            self.take_report(place, report, now);
+            self.record_report(location, report, now);
         }
     }
 
@@ -235,7 +241,7 @@
     /// ```
     pub fn release(&mut self, key: &EndpointKey, result: SlotResult, now: Instant) {
         if let SlotResult::Success(time) = result {
-            self.mean_seconds = blend(self.mean_seconds, time);
+            self.mean_seconds = moving_average(self.mean_seconds, time);
         }
         let ejected = self.endpoints.values().filter(|one| one.is_ejected()).count();
         let may_eject = (ejected + 1) * 2 <= self.endpoints.len();
@@ -272,8 +278,8 @@
     /// assert!(pool.poll(Instant::now(), &mut rand::rng()).is_empty());
     /// ```
     pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<TicketResult> {
-        let useless_before = now + self.mean_time().mul_f64(FEWEST_TIME);
-        let expired = self.queue.take_before(useless_before).into_iter();
+        let min_deadline = now + self.mean_time().mul_f64(MIN_TIME_LEFT);
+        let expired = self.queue.drain_before(min_deadline).into_iter();
         let mut results: Vec<TicketResult> =
             expired.map(|request| self.refuse_waiting(request.ticket, now)).collect();
         while !self.queue.is_empty() {
@@ -314,13 +320,13 @@
         Duration::from_secs_f64(self.mean_seconds)
     }
 
-    fn take_report(&mut self, place: &AgentLocation, report: &EndpointReport, now: Instant) {
+    fn record_report(&mut self, location: &AgentLocation, report: &EndpointReport, now: Instant) {
         let key = EndpointKey {
-            worker: place.worker.clone(),
+            worker: location.worker.clone(),
             endpoint: report.endpoint.clone(),
-            incarnation: place.incarnation,
+            incarnation: location.incarnation,
         };
-        let (domain, mean_seconds) = (&place.domain, self.mean_seconds);
+        let (domain, mean_seconds) = (&location.domain, self.mean_seconds);
         let new = || PoolEndpoint::new(domain.clone(), mean_seconds, now);
         self.endpoints.entry(key).or_insert_with(new).on_report(report, now);
     }
@@ -335,13 +341,13 @@
         let ahead = self.queue.len_before(request.deadline);
         let wait = Duration::from_secs_f64(per_request * (ahead + 1) as f64);
         let left = request.deadline.saturating_duration_since(now);
-        let needed = wait.mul_f64(WAIT_MARGIN) + self.mean_time().mul_f64(TIME_MARGIN);
-        if needed <= left {
+        let required = wait.mul_f64(WAIT_MARGIN) + self.mean_time().mul_f64(RESPONSE_TIME_MARGIN);
+        if required <= left {
             self.queue.push(request);
             return (SlotDecision::Queued, None);
         }
-        let longest = (left.as_secs_f64() / per_request) as usize;
-        match self.displace_for(&request, longest) {
+        let max_len = (left.as_secs_f64() / per_request) as usize;
+        match self.displace_for(&request, max_len) {
             Some(displaced) => {
                 self.queue.push(request);
                 let decision = refused(NotRunReason::CallerShare, wait);
@@ -353,11 +359,11 @@
     }
 
     /// Makes room for a caller that has less than its share of a full queue.
-    fn displace_for(&mut self, request: &QueuedRequest, longest: usize) -> Option<QueuedRequest> {
-        let own = self.queue.len_of(&request.caller);
+    fn displace_for(&mut self, request: &QueuedRequest, max_len: usize) -> Option<QueuedRequest> {
+        let own = self.queue.caller_len(&request.caller);
         let others = self.queue.caller_count() - usize::from(own > 0);
-        let share = (longest / (others + 1)).max(SMALLEST_SHARE);
-        if others == 0 || own >= share || longest == 0 {
+        let share = (max_len / (others + 1)).max(MIN_CALLER_SHARE);
+        if others == 0 || own >= share || max_len == 0 {
             return None;
         }
         let displaced = self.queue.displace(request.deadline)?;
@@ -384,7 +390,7 @@
         } else {
             NotRunReason::NoEndpoint
         };
-        refused(reason, NO_ENDPOINT_HINT)
+        refused(reason, NO_ENDPOINT_RETRY_AFTER)
     }
 
     fn usable_slots(&self, now: Instant) -> u32 {
@@ -401,7 +407,7 @@
         if candidates.is_empty() && avoid.is_some() {
             candidates = self.candidates(None, now);
         }
-        let index = choose(self.way, &candidates, rng)?;
+        let index = choose(self.policy, &candidates, rng)?;
         let (key, endpoint) = self.endpoints.iter_mut().nth(index)?;
         endpoint.on_sent();
         Some(key.clone())
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -20,9 +20,9 @@
 use crate::request::placement_policy::dominant_share;
 
 /// Waiting time after which a task goes before the teams' shares.
-const LONG_WAIT: Duration = Duration::from_secs(600);
+const STARVATION_WAIT: Duration = Duration::from_secs(600);
 /// Tasks of one team that are looked at in one plan when the first ones find no room.
-const LOOK_AHEAD: usize = 64;
+const MAX_TEAM_CANDIDATES: usize = 64;
 
 /// A queued task as the plan sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -93,15 +93,15 @@
         let Some(task) = queues.get_mut(&team).and_then(VecDeque::pop_front) else {
             break;
         };
-        let share = teams.entry(team).or_default();
-        if !share.quota.contains(&share.used.plus(&task.resources)) {
+        let usage = teams.entry(team).or_default();
+        if !usage.quota.contains(&usage.used.plus(&task.resources)) {
             continue;
         }
         let chosen = choose_worker(policy, views, &task.resources, &task.kind, &task.avoid, rng);
         if let Some(index) = chosen {
             views[index].commit(&task.resources, &task.kind);
             policy.on_committed(&mut views[index], &task.kind);
-            share.used = share.used.plus(&task.resources);
+            usage.used = usage.used.plus(&task.resources);
             starts.push(PlannedStart {
                 key: task.key,
                 worker: views[index].worker.clone(),
@@ -121,7 +121,7 @@
     let mut queues: BTreeMap<TeamName, VecDeque<QueuedTask>> = BTreeMap::new();
     for task in queued {
         let queue = queues.entry(task.team.clone()).or_default();
-        if queue.len() < LOOK_AHEAD {
+        if queue.len() < MAX_TEAM_CANDIDATES {
             queue.push_back(task);
         }
     }
@@ -133,11 +133,11 @@
     queues: &BTreeMap<TeamName, VecDeque<QueuedTask>>,
     teams: &BTreeMap<TeamName, TeamUsage>,
 ) -> Option<TeamName> {
-    let heads = queues.iter().filter_map(|(team, queue)| Some((team, queue.front()?)));
-    let ranked = heads.map(|(team, task)| {
-        let share = teams.get(team).copied().unwrap_or_default();
-        let used = dominant_share(&share.used, &share.quota);
-        let rank = (task.waited < LONG_WAIT, !task.urgent, used);
+    let first_tasks = queues.iter().filter_map(|(team, queue)| Some((team, queue.front()?)));
+    let ranked = first_tasks.map(|(team, task)| {
+        let usage = teams.get(team).copied().unwrap_or_default();
+        let used = dominant_share(&usage.used, &usage.quota);
+        let rank = (task.waited < STARVATION_WAIT, !task.urgent, used);
         (team, rank)
     });
     let first =
@@ -173,9 +173,9 @@
         }
     }
 
-    fn shares(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamUsage> {
-        let share = |quota: u64| TeamUsage { quota: amount(quota), used: amount(0) };
-        quotas.iter().map(|(team, quota)| (team.to_string(), share(*quota))).collect()
+    fn team_usages(quotas: &[(&str, u64)]) -> BTreeMap<TeamName, TeamUsage> {
+        let usage = |quota: u64| TeamUsage { quota: amount(quota), used: amount(0) };
+        quotas.iter().map(|(team, quota)| (team.to_string(), usage(*quota))).collect()
     }
 
     fn plan(
@@ -192,7 +192,7 @@
     fn no_worker_and_no_quota_is_exceeded() {
         let queued = (0..9).map(|n| task(&n.to_string(), "t", false, n)).collect();
         let mut views = [view("w1", 1_000), view("w2", 700)];
-        let mut teams = shares(&[("t", 1_200)]);
+        let mut teams = team_usages(&[("t", 1_200)]);
         assert_eq!(plan(queued, &mut views, &mut teams).len(), 2);
         assert_eq!(teams["t"].used, amount(1_000));
     }
@@ -206,7 +206,7 @@
             task("b2", "b", true, 0),
         ];
         let mut views = [view("w1", 1_000), view("w2", 500)];
-        let mut teams = shares(&[("a", 5_000), ("b", 5_000)]);
+        let mut teams = team_usages(&[("a", 5_000), ("b", 5_000)]);
         assert_eq!(plan(queued, &mut views, &mut teams), ["b2", "a1", "a2"]);
     }
 
@@ -214,7 +214,7 @@
     fn a_long_wait_goes_before_shares() {
         let queued = vec![task("old", "a", false, 700), task("new", "b", true, 0)];
         let mut views = [view("w1", 500)];
-        let mut teams = shares(&[("a", 5_000), ("b", 5_000)]);
+        let mut teams = team_usages(&[("a", 5_000), ("b", 5_000)]);
         teams.get_mut("a").unwrap().used = amount(4_000);
         assert_eq!(plan(queued, &mut views, &mut teams), ["old"]);
     }
@@ -224,7 +224,7 @@
         let mut big = task("big", "a", true, 99);
         big.resources = amount(2_000);
         let mut views = [view("w1", 500)];
-        let mut teams = shares(&[("a", 5_000)]);
+        let mut teams = team_usages(&[("a", 5_000)]);
         assert_eq!(
             plan(vec![big, task("small", "a", false, 1)], &mut views, &mut teams),
             ["small"]
--- a/src/version/document.rs
+++ b/src/version/document.rs
@@ -10,11 +10,11 @@
 use crate::request::routing::RoutingPolicy;
 
 /// Longest deadline that a document may allow.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
 /// Largest body of a request in bytes that a document may allow.
-const LARGEST_BODY: u64 = 4 << 20;
+const MAX_BODY_BYTES: u64 = 4 << 20;
 /// Most cores, gibibytes or accelerators that a quota may name.
-const LARGEST_QUOTA: u64 = 1_000_000;
+const MAX_QUOTA: u64 = 1_000_000;
 
 /// The objective that the burn report measures against.
 #[derive(Clone, Debug, PartialEq)]
@@ -93,8 +93,8 @@
 
 fn read_name(reader: &mut IniReader, key: &str) -> String {
     let name = reader.required("service", key);
-    let is_plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if !name.chars().all(is_plain) {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    if !name.chars().all(is_allowed) {
         reader.report("service", key, "allowed are a-z, 0-9 and '-'");
     }
     name
@@ -114,7 +114,7 @@
 
 fn read_rules(reader: &mut IniReader) -> RequestRules {
     let largest_deadline = reader.span("requests", "largest-deadline", Duration::from_secs(30));
-    if largest_deadline.is_zero() || largest_deadline > LONGEST_DEADLINE {
+    if largest_deadline.is_zero() || largest_deadline > MAX_DEADLINE {
         reader.report("requests", "largest-deadline", "must be between 1ms and 10m");
     }
     let retry_share = reader.value("guards", "retry-share", 0.1);
@@ -125,7 +125,8 @@
         idempotent: reader.flag("requests", "idempotent", false),
         default_deadline: reader.span("requests", "default-deadline", largest_deadline),
         largest_deadline,
-        largest_body: reader.number("requests", "largest-body", 65_536, 1..=LARGEST_BODY) as usize,
+        largest_body: reader.number("requests", "largest-body", 65_536, 1..=MAX_BODY_BYTES)
+            as usize,
         routing: reader.value("guards", "routing", RoutingPolicy::default()),
         adaptive_limit: reader.flag("guards", "adaptive-limit", false),
         retry_share,
@@ -133,7 +134,7 @@
 }
 
 fn read_quota(reader: &mut IniReader) -> ResourceAmount {
-    let mut number = |key: &str| reader.number("batch-quota", key, 0, 0..=LARGEST_QUOTA);
+    let mut number = |key: &str| reader.number("batch-quota", key, 0, 0..=MAX_QUOTA);
     ResourceAmount {
         millicores: number("cores") * 1_000,
         memory_mib: number("memory-gib") * 1_024,
