--- a/src/request/concurrency_limit.rs
+++ b/src/request/concurrency_limit.rs
@@ -1,34 +1,36 @@
-//! A limit on the requests that an endpoint runs at once, learned from their times.
+//! Adaptive limit on the concurrent requests of an endpoint, learned from response times.
 //!
-//! Declared slots may be more than an endpoint can really run: beyond that point further requests only
-//! make each other slower. The limit looks for the number in flight with the greatest power, throughput
-//! over time of a request (Kleinrock, "Power and deterministic rules of thumb for probabilistic problems in
-//! computer communications", ICC 1979). By Little's law the throughput at n in flight is n over the mean time
-//! there, so that the power is n / time². A slowdown from outside, such as a batch task beside the
-//! endpoint, slows every number alike and leaves the limit where it is.
+//! An endpoint may declare more slots than it can serve in parallel; beyond that point, further
+//! requests only slow each other down. The limit follows the concurrency level with the greatest
+//! power, which is throughput divided by response time (Kleinrock, "Power and deterministic rules
+//! of thumb for probabilistic problems in computer communications", ICC 1979). By Little's law, the
+//! throughput at `n` requests in flight is `n` divided by the mean response time, so that the power
+//! is `n / time²`. A slowdown with an outside cause, such as a batch task on the same host, affects
+//! all levels alike and does not move the limit.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Weight of the newest sample in a level's mean time.
+/// Weight of the newest sample in the moving average of a level's response time.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Samples that a level needs before it is compared.
+/// Samples that a level needs before it is compared with others.
 const MIN_SAMPLES: u32 = 16;
-/// Time after which what was measured at a level is no longer compared.
+/// Time after the last sample of a level until its measurement counts as stale.
 const LEVEL_TTL: Duration = Duration::from_secs(15);
-/// Time between two looks at the levels.
+/// Shortest interval between two evaluations of the limit.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Looks in a row at which another level must be better: when the endpoint's times change from outside,
-/// the levels that are measured more often show it earlier.
+/// Consecutive evaluations in which a lower level must be better before the limit is lowered. After
+/// an outside change of the response times, frequently sampled levels show the change before the
+/// others, which makes the comparison wrong for a while.
 const EVALUATIONS_TO_LOWER: u32 = 6;
-/// Time at the best known level before one more is tried.
+/// Time since the last change of the limit after which it is raised by one as a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// By how much another level's power must be greater than that of the limit.
+/// Factor by which the best level's power must exceed that of the limit for the limit to be
+/// lowered.
 const MIN_POWER_GAIN: f64 = 1.25;
-/// Smallest limit.
 const MIN_LIMIT: u32 = 1;
 
-/// What was measured with a number of requests in flight.
+/// Response times measured at one number of requests in flight.
 #[derive(Clone, Copy, Debug)]
 struct ConcurrencyLevel {
     mean_seconds: f64,
@@ -36,12 +38,12 @@
     measured_at: Instant,
 }
 
-/// The limit of one endpoint.
+/// Concurrency limit of one endpoint.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     slots: u32,
     limit: u32,
-    /// Levels from one in flight upwards.
+    /// Measurements by number of requests in flight; index 0 is one request.
     levels: Vec<Option<ConcurrencyLevel>>,
     evaluated_at: Instant,
     changed_at: Instant,
@@ -49,7 +51,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit that starts at the declared slots.
+    /// Creates a limit that starts at the number of declared slots.
     ///
     /// ```
     /// use std::time::Instant;
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Requests that may be in flight.
+    /// Greatest number of requests that may be in flight.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Takes in another number of declared slots; what was learned is kept where it still applies.
+    /// Sets the number of declared slots; measurements of levels up to that number are kept.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -93,7 +95,7 @@
         self.levels.resize(slots as usize, None);
     }
 
-    /// Takes in a good answer that took `time` with `in_flight` requests at the endpoint.
+    /// Records a successful response that took `time` with `in_flight` requests at the endpoint.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -113,7 +115,7 @@
             samples: 0,
             measured_at: now,
         });
-        // A plain mean until there are enough samples for a running one.
+        // The first samples form a plain mean; after that the average is exponentially weighted.
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(next.samples + 1));
         next.mean_seconds += weight * (seconds - next.mean_seconds);
         next.samples = next.samples.saturating_add(1);
@@ -122,7 +124,8 @@
         self.evaluate(in_flight, now);
     }
 
-    /// Moves the limit when it is reached: to the best level, or one up to learn.
+    /// Adjusts the limit when it is reached: lowers it towards the best level, or raises it by one
+    /// as a probe.
     fn evaluate(&mut self, in_flight: u32, now: Instant) {
         let since_evaluation = now.saturating_duration_since(self.evaluated_at);
         if in_flight < self.limit || since_evaluation < EVALUATION_INTERVAL {
@@ -151,13 +154,13 @@
         self.better_evaluations = 0;
     }
 
-    /// The level of the greatest power among those that are known.
+    /// Level with the greatest power among those with enough samples; the limit if there is none.
     fn best_level(&self, now: Instant) -> u32 {
-        let levels = (1..=self.limit).filter_map(|one| Some((one, self.power(one, now)?)));
+        let levels = (1..=self.limit).filter_map(|level| Some((level, self.power(level, now)?)));
         levels.max_by(|a, b| a.1.total_cmp(&b.1)).map_or(self.limit, |(level, _)| level)
     }
 
-    /// Throughput over time of a request, when enough was measured at the level.
+    /// Throughput divided by response time at a level, if it has enough recent samples.
     fn power(&self, level: u32, now: Instant) -> Option<f64> {
         let recent = self.levels.get(level.checked_sub(1)? as usize)?.as_ref()?;
         let is_known = recent.samples >= MIN_SAMPLES && is_fresh(recent, now);
@@ -165,8 +168,8 @@
     }
 }
 
-/// What the limit keeps above the best level: a limit that is a little too low leaves cores idle while
-/// requests wait, one that is a little too high costs a little time.
+/// Margin of the limit above the best level: a limit that is slightly too low leaves cores idle
+/// while requests wait, one that is slightly too high only adds a little response time.
 fn headroom(level: u32) -> u32 {
     (f64::from(level).sqrt() / 2.0).ceil() as u32
 }
@@ -186,8 +189,8 @@
 
     const BASE: f64 = 0.02;
 
-    /// Runs an endpoint that shares `cores` among its requests, kept busy up to the limit or below
-    /// it, and gives the limits over the last half of the time.
+    /// Simulates an endpoint whose requests share `cores` and whose response times are multiplied
+    /// by `outside` at each step; returns the limits in the second half of the run.
     fn simulate(cores: f64, slots: u32, outside: impl Fn(usize) -> f64) -> Vec<u32> {
         let start = Instant::now();
         let mut rng = StdRng::seed_from_u64(7);
@@ -207,7 +210,7 @@
         limits
     }
 
-    /// At the limit in half of the cases, else anywhere below.
+    /// The limit in half of the cases, otherwise a random level up to it.
     fn random_level(rng: &mut impl Rng, limit: u32) -> u32 {
         if rng.random_bool(0.5) { limit } else { rng.random_range(1..=limit) }
     }
@@ -217,25 +220,25 @@
     }
 
     #[test]
-    fn the_limit_finds_the_cores_behind_too_many_slots() {
+    fn limit_converges_to_the_cores_when_too_many_slots_are_declared() {
         let limits = simulate(4.0, 16, |_| 1.0);
         assert!((4.0..=6.5).contains(&mean(&limits)), "{}", mean(&limits));
     }
 
     #[test]
-    fn honest_slots_are_all_used() {
+    fn all_slots_are_used_when_cores_match_them() {
         let limits = simulate(8.0, 8, |_| 1.0);
         assert_eq!(limits.iter().min(), Some(&8));
     }
 
     #[test]
-    fn a_slowdown_from_outside_takes_no_slots_away() {
+    fn an_outside_slowdown_does_not_lower_the_limit() {
         let limits = simulate(8.0, 8, |step| if (step / 1_500) % 2 == 0 { 1.0 } else { 1.8 });
         assert!(mean(&limits) > 7.5, "{}", mean(&limits));
     }
 
     #[test]
-    fn cores_that_come_back_are_found_by_probing() {
+    fn probing_raises_the_limit_when_cores_are_added() {
         let start = Instant::now();
         let mut limit = ConcurrencyLimit::new(8, start);
         let mut rng = StdRng::seed_from_u64(7);
@@ -255,7 +258,7 @@
     }
 
     #[test]
-    fn below_the_limit_nothing_changes() {
+    fn limit_is_unchanged_while_it_is_not_reached() {
         let start = Instant::now();
         let mut limit = ConcurrencyLimit::new(8, start);
         for step in 0..1_000_u64 {
--- a/src/request/deadline_queue.rs
+++ b/src/request/deadline_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of requests that wait for a slot, earliest deadline first.
+//! Queue of requests that wait for an endpoint slot, ordered by earliest deadline.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,23 +6,23 @@
 
 use crate::request::pool_endpoint::EndpointKey;
 
-/// Number of a waiting request, unique in its process.
+/// Identifier of a waiting request, unique within the process.
 pub type TicketNumber = u64;
 
-/// A request that waits for a slot.
+/// A request that waits for an endpoint slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Identifier of the request in the queue.
     pub ticket: TicketNumber,
-    /// Until when an answer is of use.
+    /// Time by which the caller needs the response.
     pub deadline: Instant,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: String,
-    /// The endpoint that a retry should avoid.
+    /// Endpoint of the previous attempt, avoided when another one is open.
     pub avoid: Option<EndpointKey>,
 }
 
-/// Waiting requests in order of their deadlines.
+/// Waiting requests in order of their deadlines, counted by caller.
 #[derive(Debug, Default)]
 pub struct DeadlineQueue {
     requests: BTreeMap<(Instant, TicketNumber), QueuedRequest>,
@@ -30,7 +30,7 @@
 }
 
 impl DeadlineQueue {
-    /// Adds a request.
+    /// Adds a request to the queue.
     ///
     /// ```
     /// use std::time::Instant;
@@ -48,7 +48,7 @@
         self.requests.insert((request.deadline, request.ticket), request);
     }
 
-    /// Takes the request with the earliest deadline.
+    /// Removes and returns the request with the earliest deadline.
     ///
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
@@ -61,7 +61,7 @@
         Some(request)
     }
 
-    /// Takes all requests whose deadline lies before `min_deadline`.
+    /// Removes and returns all requests whose deadline is before `min_deadline`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -78,7 +78,7 @@
         taken
     }
 
-    /// Removes a request whose caller has gone. Gives whether it was waiting.
+    /// Removes a request whose caller has disconnected. Returns whether it was queued.
     ///
     /// ```
     /// use std::time::Instant;
@@ -95,7 +95,7 @@
         true
     }
 
-    /// Number of requests that go before one with this deadline.
+    /// Number of requests that are served before a new one with this deadline.
     ///
     /// ```
     /// use std::time::Instant;
@@ -108,8 +108,8 @@
         self.requests.range(..(deadline, TicketNumber::MAX)).count()
     }
 
-    /// Takes the last request before `deadline` of the caller that has most requests waiting, so
-    /// that another caller gets its place.
+    /// Removes and returns a request of the caller with the most waiting requests, to free its
+    /// place for another caller: the one of that caller with the latest deadline up to `deadline`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -161,7 +161,7 @@
         self.requests.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     ///
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
@@ -193,7 +193,7 @@
     }
 
     #[test]
-    fn the_earliest_deadline_goes_first() {
+    fn requests_are_popped_by_earliest_deadline() {
         let now = Instant::now();
         let mut queue = DeadlineQueue::default();
         queue.push(request(1, now + Duration::from_secs(2)));
@@ -204,7 +204,7 @@
     }
 
     #[test]
-    fn a_caller_without_requests_is_forgotten() {
+    fn a_caller_without_requests_is_not_counted() {
         let now = Instant::now();
         let mut queue = DeadlineQueue::default();
         queue.push(request(1, now));
--- a/src/request/ejection.rs
+++ b/src/request/ejection.rs
@@ -1,19 +1,19 @@
-//! Ejection of endpoints that fail, and their probing.
+//! Ejection of failing endpoints from routing.
 //!
-//! An endpoint that answers errors at once looks idle and would attract all work. After a run of
-//! failures it is ejected for a while that doubles each time; then a single request probes it.
+//! An endpoint that fails fast appears idle and would attract all requests. After a number of
+//! consecutive failures it is ejected for a period that doubles with each ejection; after that, a
+//! single request probes whether it has recovered.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// First time out.
+/// Length of the first ejection; each further one lasts twice as long.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
-/// Longest time out.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
-/// What an endpoint's last answers say of its health.
+/// Health of an endpoint, judged by its latest responses.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointHealth {
     failures: u32,
@@ -23,7 +23,7 @@
 }
 
 impl EndpointHealth {
-    /// Whether a request may be sent at `now`. After a time out only one may, until it ends.
+    /// Whether a request may be sent at `now`. After an ejection period, one probe at a time may.
     ///
     /// ```
     /// use std::time::Instant;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the endpoint is out or being probed.
+    /// Whether the endpoint is ejected or being probed.
     ///
     /// ```
     /// use greengagearch::request::ejection::EndpointHealth;
@@ -50,7 +50,7 @@
         self.ejected_until.is_some()
     }
 
-    /// Must be told of each request that is sent.
+    /// Records that a request is sent; has to be called for each one, since it may be a probe.
     ///
     /// ```
     /// greengagearch::request::ejection::EndpointHealth::default().on_sent();
@@ -59,7 +59,7 @@
         self.probing = self.ejected_until.is_some();
     }
 
-    /// Takes in a good answer.
+    /// Records a successful response, which ends an ejection.
     ///
     /// ```
     /// greengagearch::request::ejection::EndpointHealth::default().on_success();
@@ -68,7 +68,7 @@
         *self = EndpointHealth::default();
     }
 
-    /// Takes in the end of a request that says nothing of the endpoint's health.
+    /// Records the end of a request whose result says nothing about the endpoint's health.
     ///
     /// ```
     /// greengagearch::request::ejection::EndpointHealth::default().on_neutral();
@@ -77,7 +77,9 @@
         self.probing = false;
     }
 
-    /// Takes in a failure; the endpoint is ejected when `may_eject` allows it.
+    /// Records a failure. Ejects the endpoint after enough consecutive failures if `may_eject` is
+    /// set; a failure of an endpoint that is already ejected, such as that of a probe, always
+    /// ejects it again.
     ///
     /// ```
     /// use std::time::Instant;
@@ -107,7 +109,7 @@
     use super::*;
 
     #[test]
-    fn one_probe_at_a_time_after_the_time_out() {
+    fn one_probe_at_a_time_is_sent_after_the_ejection() {
         let now = Instant::now();
         let mut health = EndpointHealth::default();
         (0..5).for_each(|_| health.on_failure(now, true));
--- a/src/request/expiring_id_map.rs
+++ b/src/request/expiring_id_map.rs
@@ -1,4 +1,4 @@
-//! Request ids with what is known of each, kept for a bounded time.
+//! Map from request ids to their states, with an expiry time for each id.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     expires_at: Duration,
 }
 
-/// Ids with a state each; every id is kept until its wall-clock time has come.
+/// States of request ids, each kept until its expiry time, a wall-clock time since the Unix epoch.
 #[derive(Clone, Debug)]
 pub struct ExpiringIdMap<S> {
     ids: HashMap<RequestId, ExpiringState<S>>,
@@ -24,7 +24,7 @@
 }
 
 impl<S> ExpiringIdMap<S> {
-    /// What is known of an id.
+    /// State of an id.
     ///
     /// ```
     /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
@@ -35,7 +35,7 @@
         self.ids.get(id).map(|entry| &entry.state)
     }
 
-    /// Sets what is known of an id, and the wall-clock time until which it is kept at least.
+    /// Sets the state of an id and the time until which it is kept at least.
     ///
     /// ```
     /// use std::time::Duration;
@@ -51,7 +51,7 @@
         self.ids.insert(id, ExpiringState { state, expires_at });
     }
 
-    /// Changes what is known of an id that is kept; the time until which it is kept stays.
+    /// Changes the state of an id if the map contains it; the expiry time stays the same.
     ///
     /// ```
     /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Forgets an id.
+    /// Removes an id.
     ///
     /// ```
     /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
@@ -75,7 +75,8 @@
         self.ids.remove(id);
     }
 
-    /// Forgets ids whose time has come by `now`, but for those that `is_in_use` holds.
+    /// Removes the ids that have expired by `now`, except for those whose state is in use according
+    /// to `is_in_use`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,7 +92,7 @@
         self.ids.retain(|_, entry| entry.expires_at > now || is_in_use(&entry.state));
     }
 
-    /// All ids with what is known of each and the time until which it is kept.
+    /// All ids with their states and expiry times.
     ///
     /// ```
     /// use greengagearch::request::expiring_id_map::ExpiringIdMap;
@@ -105,16 +106,18 @@
     /// Number of ids.
     ///
     /// ```
-    /// assert_eq!(greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default().len(), 0);
+    /// let ids = greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default();
+    /// assert_eq!(ids.len(), 0);
     /// ```
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether no id is kept.
+    /// Whether the map contains no ids.
     ///
     /// ```
-    /// assert!(greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default().is_empty());
+    /// let ids = greengagearch::request::expiring_id_map::ExpiringIdMap::<u32>::default();
+    /// assert!(ids.is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
--- a/src/request/job.rs
+++ b/src/request/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and tasks: what callers submit and the rows that keep it.
+//! Jobs and tasks: submissions of callers, and the rows that store them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,74 +13,73 @@
 use crate::ids::TeamName;
 use crate::ids::WorkerId;
 
-/// Largest number of tasks of one job.
 pub const MAX_JOB_TASKS: usize = 256;
-/// Longest job id, in bytes.
 pub const MAX_JOB_ID_BYTES: usize = 128;
-/// Distinct workers on which a task may fail before it counts as failed.
+/// Number of distinct workers on which a task has to fail before it is given up.
 pub const MAX_FAILED_WORKERS: usize = 3;
 
-/// One task of a submission.
+/// A task of a submitted job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSpec {
-    /// Declared resources.
+    /// Resources that the task declares.
     pub resources: ResourceAmount,
-    /// Declared run time in milliseconds.
+    /// Run time that the task declares, in milliseconds.
     pub run_millis: u64,
     /// Input, opaque to the scheduler.
     #[serde(default)]
     pub input: String,
 }
 
-/// A submission.
+/// A submitted job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
-    /// The caller's name for the job; a repeat gives the same job.
+    /// Id chosen by the caller, unique within the team; a repeated submission refers to the same
+    /// job.
     pub id: JobId,
     /// The team on whose quota it runs.
     pub team: TeamName,
-    /// Kind of its tasks; tasks of one kind behave alike.
+    /// Kind of its tasks; tasks of one kind are expected to interfere with services alike.
     pub kind: String,
-    /// Whether it goes before the team's other work.
+    /// Whether it starts before the team's other tasks.
     #[serde(default)]
     pub urgent: bool,
-    /// Its tasks.
+    /// Tasks of the job.
     pub tasks: Vec<TaskSpec>,
 }
 
-/// State of a whole job.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Tasks are still to be done.
+    /// At least one task has not ended.
     Active,
-    /// Cancelled by its owner; running tasks are being stopped.
+    /// The owner cancelled the job; running tasks are being stopped.
     Cancelled,
-    /// All tasks ended.
+    /// All tasks have ended.
     Ended,
 }
 
-/// How one task of an ended job ended.
+/// How a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskEnd {
-    /// Done, with its result.
+    /// The task completed with a result.
     Done {
         /// Output, opaque to the scheduler.
         result: String,
     },
-    /// Given up after failures on several workers.
+    /// The task was given up after failures on several workers.
     Failed {
-        /// The last error.
+        /// Error of the last failure.
         error: String,
         /// Workers on which it failed.
         workers: Vec<WorkerId>,
     },
-    /// Cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// The row of a job.
+/// Stored row of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
     /// The submission.
@@ -89,50 +88,50 @@
     pub state: JobState,
     /// Wall-clock time of the submission in milliseconds since the Unix epoch.
     pub submitted_millis: u64,
-    /// Ends of the tasks once the job has ended, in their order.
+    /// How each task ended, in the order of the tasks; empty until the job has ended.
     pub ends: Vec<TaskEnd>,
 }
 
 /// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waiting for a worker.
+    /// The task waits for a worker.
     Queued,
-    /// Committed on a worker.
+    /// Resources of a worker are committed to the task.
     Committed {
         /// The worker.
         worker: WorkerId,
     },
-    /// At its end.
+    /// The task has ended.
     Ended(TaskEnd),
 }
 
-/// The row of a task of a job that has not ended.
+/// Stored row of a task; kept until its job has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
-    /// Full name of the job.
+    /// Full name of the job: team and id.
     pub job: JobId,
-    /// Position in the job.
+    /// Index of the task in the job.
     pub index: TaskIndex,
     /// The team on whose quota it runs.
     pub team: TeamName,
     /// Kind of the task.
     pub kind: String,
-    /// Whether it goes before the team's other work.
+    /// Whether it starts before the team's other tasks.
     pub urgent: bool,
-    /// What it was submitted with.
+    /// The task as submitted.
     pub spec: TaskSpec,
-    /// Number of the newest attempt; zero before the first.
+    /// Number of the latest attempt; zero before the first.
     pub attempt: AttemptNumber,
-    /// Reference of the newest checkpoint.
+    /// Reference to the latest checkpoint.
     pub checkpoint: Option<String>,
     /// Distinct workers on which it failed.
     pub failed_on: Vec<WorkerId>,
     /// The worker from which it was last evicted.
     pub evicted_from: Option<WorkerId>,
-    /// How often it was evicted.
+    /// Number of evictions.
     pub evictions: u32,
-    /// The most it was seen to use, once it has ended.
+    /// Peak resource usage, once it has ended.
     pub used: Option<ResourceAmount>,
     /// State of the task.
     pub state: TaskState,
@@ -141,12 +140,13 @@
 }
 
 impl TaskRow {
-    /// Whether `attempt` on `worker` is the one that counts.
+    /// Whether `attempt` on `worker` is the current attempt of the task.
     ///
     /// ```
     /// # use greengagearch::external::worker::AttemptKey;
     /// # use greengagearch::request::job::{JobSpec, TaskSpec, task_rows};
-    /// # let task = TaskSpec { resources: Default::default(), run_millis: 1, input: String::new() };
+    /// # let task = TaskSpec { resources: Default::default(), run_millis: 1,
+    /// #     input: String::new() };
     /// # let spec = JobSpec { id: "night".into(), team: "planning".into(), kind: "roster".into(),
     /// #     urgent: false, tasks: vec![task] };
     /// let row = &task_rows(&spec, 0)[0];
@@ -159,11 +159,13 @@
         is_on_worker && self.attempt == attempt.attempt
     }
 
-    /// Takes in a failure on `worker`: back to the queue, or failed for good after enough workers.
+    /// Records a failure on `worker`: the task returns to the queue, or has failed for good after
+    /// failures on enough workers.
     ///
     /// ```
     /// # use greengagearch::request::job::{JobSpec, TaskSpec, TaskState, task_rows};
-    /// # let task = TaskSpec { resources: Default::default(), run_millis: 1, input: String::new() };
+    /// # let task = TaskSpec { resources: Default::default(), run_millis: 1,
+    /// #     input: String::new() };
     /// # let spec = JobSpec { id: "night".into(), team: "planning".into(), kind: "roster".into(),
     /// #     urgent: false, tasks: vec![task] };
     /// let mut row = task_rows(&spec, 0).remove(0);
@@ -197,7 +199,7 @@
     format!("{team}/{id}")
 }
 
-/// Partition of a job, by its full name.
+/// Partition of a job with the given full name; all jobs of a team are in the same one.
 ///
 /// ```
 /// use greengagearch::request::job::job_partition;
@@ -247,8 +249,8 @@
     format!("{}{index:04}", job_tasks_prefix(job))
 }
 
-/// Key of the marker that a job is cancelled; it stands among the job's tasks, so that one read
-/// of a partition shows both.
+/// Key of the marker of a cancelled job. It has the prefix of the job's tasks, so that one read of
+/// a partition returns both.
 ///
 /// ```
 /// let key = greengagearch::request::job::cancel_key("planning/night");
@@ -258,7 +260,8 @@
     format!("{}cancel", job_tasks_prefix(job))
 }
 
-/// The job of a marker's key.
+/// Job to which the key of a cancel marker belongs; `None` if the key is not one of a cancel
+/// marker.
 ///
 /// ```
 /// use greengagearch::request::job::cancel_key;
@@ -271,7 +274,7 @@
     rest.strip_suffix("/cancel").map(str::to_string)
 }
 
-/// The rows of a new job's tasks.
+/// Creates the task rows of a new job.
 ///
 /// ```
 /// # use greengagearch::request::job::{JobSpec, task_rows};
@@ -300,7 +303,7 @@
     rows.collect()
 }
 
-/// What is wrong with a submission, as one sentence each; empty when it is sound.
+/// Validates a submission; returns a message for each finding.
 ///
 /// ```
 /// # use greengagearch::request::job::{JobSpec, validate_spec};
@@ -312,15 +315,20 @@
     let mut findings = Vec::new();
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     if spec.team.is_empty() || !spec.team.chars().all(is_allowed) {
-        findings.push("team: write the characters a-z, A-Z, 0-9, '-', '_', '.', ':'".to_string());
+        findings.push(
+            "team: must be one or more characters of a-z, A-Z, 0-9, '-', '_', '.', ':'".to_string(),
+        );
     }
     if spec.id.is_empty() || spec.id.len() > MAX_JOB_ID_BYTES || !spec.id.chars().all(is_allowed) {
         findings.push(format!(
-            "id: write 1 to {MAX_JOB_ID_BYTES} of the characters a-z, A-Z, 0-9, '-', '_', '.', ':'"
+            "id: must be 1 to {MAX_JOB_ID_BYTES} characters of a-z, A-Z, 0-9, '-', '_', '.', ':'"
         ));
     }
     if spec.tasks.is_empty() || spec.tasks.len() > MAX_JOB_TASKS {
-        findings.push(format!("tasks: give 1 to {MAX_JOB_TASKS} tasks, not {}", spec.tasks.len()));
+        findings.push(format!(
+            "tasks: must contain 1 to {MAX_JOB_TASKS} tasks, got {}",
+            spec.tasks.len()
+        ));
     }
     for (index, task) in spec.tasks.iter().enumerate() {
         if task.resources.millicores == 0 || task.resources.memory_mib == 0 {
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as a request or an attempt of a task.
+//! Requests and batch tasks: routing, queueing, concurrency limits, retries, idempotency, task
+//! scheduling.
 
 pub mod concurrency_limit;
 pub mod deadline_queue;
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -1,7 +1,7 @@
-//! The three outcomes of a request, on the wire and in the types.
+//! The three outcomes of a request, as types and as names on the wire.
 //!
-//! "Not run" is only said with proof: the request was never sent, or the agent refused it before
-//! dispatch, or wrote a tombstone for it. Everything else that is not an answer is "unknown".
+//! The outcome "not run" requires proof: the request was never sent, or the agent refused it before
+//! dispatch or recorded a tombstone for it. Everything else that is not a response is "unknown".
 
 use std::fmt;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 
 use crate::ids::BodyDigest;
 
-/// An answer of an endpoint, whole.
+/// A complete response of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointResponse {
-    /// HTTP status that the endpoint gave.
+    /// HTTP status of the response.
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Vec<u8>,
-    /// Digest of the body, taken where it was received from the endpoint.
+    /// Digest of the body, computed by the agent that received it from the endpoint.
     pub digest: BodyDigest,
 }
 
 impl EndpointResponse {
-    /// An answer with its digest.
+    /// Creates a response and computes the digest of its body.
     ///
     /// ```
     /// use greengagearch::request::outcome::EndpointResponse;
@@ -39,7 +39,7 @@
         EndpointResponse { status, content_type, body, digest }
     }
 
-    /// Whether the body still has the digest that was taken of it.
+    /// Whether the body still matches the digest.
     ///
     /// ```
     /// use greengagearch::request::outcome::EndpointResponse;
@@ -53,7 +53,8 @@
     }
 }
 
-/// Digest of a body; guards against truncation and mix-ups, not against forgery.
+/// Digest of a body; detects truncated and mixed-up bodies, but gives no protection against
+/// forgery.
 ///
 /// ```
 /// use greengagearch::request::outcome::body_digest;
@@ -64,53 +65,53 @@
     xxh3_64(body)
 }
 
-/// Why a request was provably not run.
+/// Reason why a request was provably not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// No document of that name is in force.
+    /// No document of the service is in effect.
     UnknownService,
     /// No endpoint of the service is announced.
     NoEndpoint,
-    /// Every endpoint of the service failed repeatedly and is ejected for a while.
+    /// No endpoint of the service is usable, and at least one is ejected after repeated failures.
     EndpointsEjected,
-    /// The queue is so long that the deadline would pass in it.
+    /// The request would miss its deadline in the queue, or its attempts are used up.
     Overloaded,
-    /// The caller already has more than its share of a busy queue.
+    /// The request was displaced from a full queue of which its caller holds more than its share.
     CallerShare,
     /// The deadline passed before the request was sent to an endpoint.
     DeadlinePassed,
-    /// No entry owns the id's partition at present.
+    /// No entry currently owns the partition of the request id.
     NoOwner,
-    /// The owner of the partition could not be reached.
+    /// The entry that owns the partition could not be reached.
     OwnerUnreachable,
-    /// This entry may not act for the partition at present.
+    /// This entry does not currently hold a valid lease on the partition.
     LeaseLapsed,
-    /// The same id came before with another body.
+    /// The id was used before with a different body.
     BodyConflict,
-    /// The id's time lies in the future.
+    /// The id's timestamp is in the future, or the id has none.
     IdInFuture,
-    /// All slots of the endpoint are taken.
+    /// All slots of the endpoint are in use.
     SlotsFull,
-    /// The endpoint is leaving or gone.
+    /// The endpoint is leaving, or its announcement has expired.
     EndpointLeaving,
-    /// The endpoint accepted no connection.
+    /// The endpoint did not accept a connection.
     ConnectFailed,
     /// The agent could not be reached.
     AgentUnreachable,
-    /// The agent has been replaced by a new run.
+    /// The agent was restarted after it announced the endpoint.
     StaleIncarnation,
-    /// The agent is not registered yet.
+    /// The agent does not currently hold the lease of its worker.
     AgentNotReady,
     /// The process is shutting down.
     Draining,
-    /// A new owner settled the id as never to be run.
+    /// A later owner of the partition has settled the id: it must not run.
     Tombstoned,
-    /// The body changed on its way.
+    /// The body does not match its digest: it was corrupted in transit.
     BrokenBody,
 }
 
 impl NotRunReason {
-    /// The machine-readable name of the reason.
+    /// Name of the reason in responses and metrics.
     ///
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Whether the refusal was given without a look at what is known of the id. Then it is true of
-    /// this try only, and says nothing of earlier ones.
+    /// Whether the request was refused without looking up its id. Such a refusal holds for this
+    /// attempt only and does not tell whether an earlier attempt was run.
     ///
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
@@ -162,7 +163,7 @@
         )
     }
 
-    /// Whether another endpoint may do better at once.
+    /// Whether another endpoint may be able to run the request immediately.
     ///
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
@@ -185,27 +186,29 @@
     }
 }
 
-/// Why nobody can tell whether a request was run.
+/// Reason why it is unknown whether a request was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnknownReason {
-    /// The endpoint's answer was lost or broken.
+    /// The endpoint's response was lost or corrupted.
     AnswerLost,
-    /// The agent's answer was lost.
+    /// The agent did not respond to the dispatch.
     AgentSilent,
-    /// The owning entry's answer was lost.
+    /// The owner of the partition did not respond to the forwarded request.
     OwnerSilent,
-    /// The deadline passed while an endpoint was at work.
+    /// The deadline passed while an endpoint was processing the request.
     DeadlinePassed,
-    /// The id is older than anything that is still remembered.
+    /// The id is older than the window for which ids are remembered.
     IdTooOld,
-    /// An earlier owner may have run it, and an agent that would know does not answer.
+    /// An earlier owner may have run it, and the agents that would know cannot tell or do not
+    /// respond.
     Unsettled,
-    /// This try was not run, but nobody who knows of earlier tries of the same id acts at present.
+    /// This attempt was not run, but another attempt with the same id may have been, and no entry
+    /// that would know of it currently acts as owner.
     NoOwner,
 }
 
 impl UnknownReason {
-    /// The machine-readable name of the reason.
+    /// Name of the reason in responses and metrics.
     ///
     /// ```
     /// use greengagearch::request::outcome::UnknownReason;
@@ -228,22 +231,23 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// An endpoint answered.
+    /// An endpoint responded.
     Answered(EndpointResponse),
     /// It was provably not run.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: NotRunReason,
-        /// When it is worth coming back.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// Nobody can tell whether it was run.
+    /// It is unknown whether it was run.
     Unknown(UnknownReason),
 }
 
 impl RequestOutcome {
-    /// What may be said of a request whose last try ended like this, after a try whose fate is unknown for `earlier`: that it was not
-    /// run is true of the last try alone.
+    /// Combines the outcome of the last attempt with that of an earlier attempt, which is unknown
+    /// for the reason `earlier`: a refusal of the last attempt does not prove that the earlier one
+    /// was not run.
     ///
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
@@ -261,7 +265,7 @@
         }
     }
 
-    /// A refusal after which it is worth coming back at once.
+    /// A refusal after which the caller may retry immediately.
     ///
     /// ```
     /// use greengagearch::request::outcome::NotRunReason;
--- a/src/request/placement_policy.rs
+++ b/src/request/placement_policy.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing a worker for a task.
+//! Placement policies, which choose a worker for a task.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,29 +17,31 @@
 use crate::process::interference::InterferenceModel;
 use crate::process::interference::KindName;
 
-/// How much more loaded than the least loaded worker a worker may be to be chosen for its pairs.
+/// Largest difference in committed share to the least loaded worker at which the pairwise policy
+/// considers a worker.
 pub const LOAD_SLACK: f64 = 0.5;
-/// Widths of doubt by which an estimated slowdown is raised: a pair that is hardly known counts as
-/// worse than one that is known to be as bad.
+/// Standard deviations added to an estimated slowdown, so that a pair with few samples counts as
+/// worse than a well-known pair with the same estimate.
 const UNCERTAINTY_WEIGHT: f64 = 0.5;
 
-/// A way of choosing among the workers that have room.
+/// Policy for choosing among the workers on which a task fits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementPolicyKind {
-    /// Any of them.
+    /// A random worker.
     Random,
-    /// The first by name.
+    /// The first worker by name.
     FirstFit,
-    /// The one with the smallest dominant share committed.
+    /// The worker with the smallest dominant share committed.
     LeastLoaded,
-    /// Among the nearly least loaded, the one whose services suffer least by the learned pairs.
+    /// Among the workers close to the least loaded one, the worker whose services are slowed down
+    /// least, according to the learned slowdowns of pairs of a service and a kind of task.
     #[default]
     Pairwise,
 }
 
-/// The text named no placement way.
+/// The text is not the name of a placement policy.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("allowed are random, first-fit, least-loaded and pairwise"))]
+#[snafu(display("expected one of random, first-fit, least-loaded, pairwise"))]
 pub struct UnknownPlacementPolicy;
 
 impl FromStr for PlacementPolicyKind {
@@ -57,7 +59,7 @@
 }
 
 impl PlacementPolicyKind {
-    /// The policy of this way.
+    /// Creates the policy.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -76,29 +78,30 @@
     }
 }
 
-/// A worker as the scheduler sees it.
+/// State of a worker that the placement policies use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerView {
-    /// Its name.
+    /// Name of the worker.
     pub worker: WorkerId,
-    /// Where it stands.
+    /// Failure domain of the worker.
     pub domain: DomainName,
-    /// What it has.
+    /// Resources of the worker.
     pub capacity: ResourceAmount,
-    /// What may still be committed.
+    /// Resources that are not committed.
     pub free: ResourceAmount,
-    /// Services that have an endpoint there.
+    /// Services that have an endpoint on the worker.
     pub services: Vec<ServiceName>,
-    /// Kinds of tasks that are committed there, with the number of each.
+    /// Number of committed tasks of each kind.
     pub kinds: BTreeMap<KindName, u32>,
-    /// Starts that are allowed; nothing when they are not bounded.
+    /// Number of further starts that are allowed; `None` if there is no limit.
     pub starts_left: Option<u32>,
-    /// Present slowdown of each of `services`, in their order; kept by the policy that needs it.
+    /// Current slowdown of each of `services`, in the same order; maintained by the pairwise
+    /// policy.
     pub slowdowns: Vec<f64>,
 }
 
 impl WorkerView {
-    /// Whether a task of this size may be started here.
+    /// Whether a task with these resources may start on the worker.
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
@@ -112,7 +115,7 @@
         self.free.contains(amount) && self.starts_left != Some(0)
     }
 
-    /// A worker on which nothing runs.
+    /// Creates the view of a worker without endpoints and tasks.
     ///
     /// ```
     /// use greengagearch::request::placement_policy::WorkerView;
@@ -132,8 +135,8 @@
         }
     }
 
-    /// The largest share of any resource that is committed, from 0 to 1 (Ghodsi et al., "Dominant
-    /// Resource Fairness", NSDI 2011).
+    /// Dominant share of the committed resources, from 0 to 1 (Ghodsi et al., "Dominant Resource
+    /// Fairness", NSDI 2011).
     ///
     /// ```
     /// use greengagearch::external::worker::ResourceAmount;
@@ -148,7 +151,7 @@
         dominant_share(&self.capacity.minus(&self.free), &self.capacity)
     }
 
-    /// Takes a task into the view.
+    /// Commits resources to a task of a kind.
     ///
     /// ```
     /// # use greengagearch::external::worker::ResourceAmount;
@@ -165,7 +168,7 @@
     }
 }
 
-/// The largest share that `amount` is of any resource of `whole`.
+/// Dominant share: the largest of the shares that `amount` has of the resources of `whole`.
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
@@ -186,12 +189,13 @@
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
 
-/// A worker that has room, with its position among all.
+/// A worker on which a task fits, with its index among all workers.
 pub type CandidateWorker<'a> = (usize, &'a WorkerView);
 
-/// Chooses one of the workers that have room for a task of a kind; gives its position.
+/// Policy that chooses one of the workers on which a task fits.
 pub trait PlacementPolicy: Send + Sync {
-    /// Chooses; nothing only when `candidates` is empty.
+    /// Chooses a worker for a task of a kind and returns its index; `None` only if there are no
+    /// candidates.
     fn choose(
         &self,
         candidates: &[CandidateWorker<'_>],
@@ -199,33 +203,35 @@
         rng: &mut dyn Rng,
     ) -> Option<usize>;
 
-    /// Must be told of the workers before the first choice among them.
+    /// Prepares the workers; has to be called before the first choice among them.
     fn prepare(&self, _views: &mut [WorkerView]) {}
 
-    /// Must be told of each task of a kind that a view takes.
+    /// Updates a worker after a task of a kind was committed to it; has to be called each time.
     fn on_committed(&self, _view: &mut WorkerView, _kind: &str) {}
 }
 
-/// Any worker with room.
+/// Chooses a random worker.
 #[derive(Clone, Copy, Debug)]
 pub struct RandomPlacement;
 
-/// The first worker with room.
+/// Chooses the first worker.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstFit;
 
-/// The worker with the smallest share committed.
+/// Chooses the worker with the smallest committed share.
 #[derive(Clone, Copy, Debug)]
 pub struct LeastLoaded;
 
-/// Among the nearly least loaded workers, the one whose services suffer least.
+/// Chooses, among the workers close to the least loaded one, the worker whose services are slowed
+/// down least.
 ///
-/// The step is that of Shan et al., "Explore Data Placement Algorithm for Balanced Recovery Load
-/// Distribution" (USENIX ATC 2023), Algorithm 2: among the candidates within a slack of the least
-/// loaded one, the least sum of pair weights; here a weight is the slowdown that the new task adds.
+/// This is the selection step of Shan et al., "Explore Data Placement Algorithm for Balanced
+/// Recovery Load Distribution" (USENIX ATC 2023), Algorithm 2: among the candidates within a slack
+/// of the least loaded one, it takes the one with the smallest sum of pair weights. A weight here
+/// is the increase in the squared slowdown of a service that the new task causes.
 #[derive(Clone)]
 pub struct PairwisePlacement {
-    /// Learned slowdowns.
+    /// Learned slowdowns of pairs of a service and a kind of task.
     pub model: Arc<InterferenceModel>,
 }
 
@@ -304,7 +310,7 @@
     }
 }
 
-/// By how much a task of one kind slows services down, looked up once for each service.
+/// Slowdowns that a task of one kind adds to services, estimated once for each service.
 struct AddedSlowdowns<'a> {
     model: &'a InterferenceModel,
     kind: &'a str,
@@ -312,8 +318,8 @@
 }
 
 impl<'a> AddedSlowdowns<'a> {
-    /// By how much the services of a worker would suffer more. Pain grows with the square of a
-    /// service's slowdown, so that it is spread rather than heaped up.
+    /// Cost of a further task on a worker: the increase in the sum of the squared slowdowns of its
+    /// services. Squares favour spreading slowdowns over concentrating them on one service.
     fn cost(&mut self, view: &'a WorkerView) -> f64 {
         let services = view.services.iter().zip(&view.slowdowns);
         services.map(|(service, now)| (now + self.of(service)).powi(2) - now.powi(2)).sum()
@@ -328,7 +334,7 @@
     }
 }
 
-/// Chooses a worker with room for `amount`; those in `avoid` only when there is no other.
+/// Chooses a worker on which `amount` fits; one of `avoid` only if there is no other.
 ///
 /// ```
 /// use greengagearch::external::worker::ResourceAmount;
--- a/src/request/pool_endpoint.rs
+++ b/src/request/pool_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as an entry's pool sees it.
+//! State of an endpoint in the service pool of an entry.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,107 +13,107 @@
 use crate::ids::WorkerId;
 use crate::request::ejection::EndpointHealth;
 
-/// Weight of the newest sample in the running mean of times.
+/// Weight of the newest sample in the moving average of response times.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// How long a report of other entries' requests at an endpoint is believed.
+/// Time for which the reported number of other entries' requests at an endpoint stays valid.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(100);
-/// Shortest pause before an endpoint that refused for want of slots is tried again.
+/// Shortest time for which an endpoint counts as full after it refused a request for lack of slots.
 const MIN_FULL_TIME: Duration = Duration::from_millis(2);
 
-/// Names one run of one endpoint's agent and the endpoint.
+/// Identifies an endpoint as announced by one run of its agent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointKey {
-    /// The worker it is on.
+    /// The worker on which it runs.
     pub worker: WorkerId,
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// The run of the worker's agent that announced it.
+    /// Incarnation of the worker's agent that announced it.
     pub incarnation: IncarnationId,
 }
 
-/// An endpoint as its agent reports it.
+/// Report of an agent on one of its endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// The service it serves.
+    /// Name of the service it serves.
     pub service: String,
-    /// Requests it can run at once.
+    /// Requests it can run concurrently.
     pub slots: u32,
-    /// Requests it runs now, of all entries.
+    /// Requests in flight, from all entries.
     pub in_flight: u32,
-    /// Whether it is leaving and gets no new requests.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
 }
 
-/// What an endpoint runs and may run, as its agent's answers say.
+/// Load of an endpoint, as reported with each response of its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests it may run at once at present.
+    /// Requests it may currently run concurrently.
     pub slots: u32,
-    /// Requests it runs now, of all entries.
+    /// Requests in flight, from all entries.
     pub in_flight: u32,
 }
 
-/// Places of one agent's endpoints.
+/// Identity and location of an agent that announces endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentLocation {
-    /// The worker.
+    /// Worker of the agent.
     pub worker: WorkerId,
-    /// The run of its agent.
+    /// Incarnation of the worker's agent.
     pub incarnation: IncarnationId,
-    /// Where it stands.
+    /// Failure domain of the worker.
     pub domain: DomainName,
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It does.
+    /// It accepts requests.
     Open,
-    /// It failed repeatedly, and gets none or one to probe it.
+    /// It failed repeatedly and receives no requests but a single probe after each ejection period.
     Ejected,
-    /// It is leaving or its announcement lapsed.
+    /// It is leaving, or its announcement has expired.
     Leaving,
 }
 
-/// An endpoint as operators see it.
+/// Status of an endpoint, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointStatus {
-    /// The service it serves.
+    /// Name of the service it serves.
     pub service: ServiceName,
-    /// Where it is announced.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Requests it may run at once at present.
+    /// Requests it may currently run concurrently.
     pub slots: u32,
-    /// Requests it runs, as far as this entry knows.
+    /// Requests in flight, as far as this entry knows.
     pub in_flight: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
 }
 
-/// How a request at an endpoint ended, as far as the pool cares.
+/// Result of a request at an endpoint, as it affects the endpoint's slots and health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotResult {
-    /// A good answer after this time.
+    /// A successful response after this time.
     Success(Duration),
-    /// An error or a lost answer.
+    /// An error or a lost response.
     Failure,
-    /// All slots were taken by others.
+    /// All slots were in use by other requests.
     Full,
     /// The endpoint is leaving.
     Leaving,
-    /// Nothing that speaks for or against the endpoint.
+    /// A result that says nothing about the endpoint's health.
     Neutral,
 }
 
-/// An endpoint with its slots and its health.
+/// Slots, load and health of an endpoint.
 #[derive(Clone, Debug)]
 pub struct PoolEndpoint {
     domain: DomainName,
     slots: u32,
     own_in_flight: u32,
-    /// Requests of other entries, as far as they are known.
+    /// Requests in flight from other entries, as last reported.
     other_in_flight: u32,
     other_valid_until: Instant,
     leaving: bool,
@@ -122,7 +122,7 @@
 }
 
 impl PoolEndpoint {
-    /// An endpoint of which nothing was reported yet; it is assumed to take `mean_seconds`.
+    /// Creates an endpoint without a report; its response time is assumed to be `mean_seconds`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Where it stands.
+    /// Failure domain of its worker.
     pub fn domain(&self) -> &str {
         &self.domain
     }
@@ -155,12 +155,12 @@
         self.leaving
     }
 
-    /// Requests it may run at once, as last reported.
+    /// Requests it may run concurrently, as last reported.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub fn state(&self) -> EndpointState {
         if self.leaving {
             EndpointState::Leaving
@@ -181,36 +181,37 @@
         self.in_use(now) < self.usable_slots(now)
     }
 
-    /// Its slots, when it is neither leaving nor ejected.
+    /// Number of its slots; zero while it is leaving or ejected.
     pub fn usable_slots(&self, now: Instant) -> u32 {
         if self.leaving || !self.health.is_open(now) { 0 } else { self.slots }
     }
 
-    /// Expected work ahead of a new request.
+    /// Expected time to serve the requests in flight and a new one, in seconds.
     pub fn load(&self, now: Instant) -> f64 {
         f64::from(self.in_use(now) + 1) * self.mean_seconds
     }
 
-    /// Takes in its agent's report.
+    /// Records a report of its agent.
     pub fn on_report(&mut self, report: &EndpointReport, now: Instant) {
         self.leaving = report.leaving;
         self.on_load(EndpointLoad { slots: report.slots, in_flight: report.in_flight }, now);
     }
 
-    /// Takes in what an answer says of the endpoint.
+    /// Records the load that its agent reported with a response.
     pub fn on_load(&mut self, load: EndpointLoad, now: Instant) {
         self.slots = load.slots;
         self.other_in_flight = load.in_flight.saturating_sub(self.own_in_flight);
         self.other_valid_until = now + LOAD_REPORT_TTL;
     }
 
-    /// Takes a slot for a request.
+    /// Occupies a slot for a request that is sent.
     pub fn on_sent(&mut self) {
         self.own_in_flight += 1;
         self.health.on_sent();
     }
 
-    /// Gives a slot back; `pool_mean` is the mean time over all endpoints of the service.
+    /// Releases the slot of a request; `pool_mean` is the mean response time of all endpoints of
+    /// the service, and `may_eject` allows the endpoint to be ejected after a failure.
     pub fn on_result(
         &mut self,
         result: SlotResult,
@@ -236,14 +237,14 @@
         }
     }
 
-    /// Requests in flight, of this entry and, as far as they are known, of others.
+    /// Requests in flight from this entry and, as far as known, from other entries.
     pub fn in_use(&self, now: Instant) -> u32 {
         let other_in_flight = if now < self.other_valid_until { self.other_in_flight } else { 0 };
         self.own_in_flight + other_in_flight
     }
 }
 
-/// The running mean of times with a new sample, in seconds.
+/// Exponentially weighted moving average `mean`, in seconds, after a new sample.
 ///
 /// ```
 /// use std::time::Duration;
@@ -271,7 +272,7 @@
     }
 
     #[test]
-    fn requests_of_other_entries_count_for_a_while() {
+    fn reported_requests_of_other_entries_expire() {
         let now = Instant::now();
         let mut endpoint = PoolEndpoint::new("a".to_string(), 0.005, now);
         endpoint.on_report(&report(2), now);
@@ -280,7 +281,7 @@
     }
 
     #[test]
-    fn a_refusal_for_want_of_slots_holds_requests_back_shortly() {
+    fn an_endpoint_counts_as_full_shortly_after_it_refused() {
         let now = Instant::now();
         let mut endpoint = PoolEndpoint::new("a".to_string(), 0.005, now);
         endpoint.on_report(&report(0), now);
--- a/src/request/request_id.rs
+++ b/src/request/request_id.rs
@@ -1,28 +1,28 @@
-//! Age of request ids.
+//! Age and expiry of request ids.
 //!
-//! An id of version 7 carries the wall-clock time at which it was made. Owners and agents remember
-//! an id until its window has passed, and an older one is answered "unknown", because nothing is
-//! known of it any more.
+//! A request id is a version 7 UUID, which contains the wall-clock time of its creation. Owners and
+//! agents remember an id until its retention window has passed. A request with an older id gets the
+//! outcome "unknown", because it cannot be determined any more whether the id was run.
 
 use std::time::Duration;
 
 use crate::ids::RequestId;
 
-/// Largest difference of wall clocks that is put up with, between any two of callers and hosts.
+/// Largest tolerated difference between the wall clocks of any two machines, callers included.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
 
-/// How old an id is, as its window goes.
+/// Age of an id relative to its retention window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdAge {
-    /// It lies within the window.
+    /// It was created within the window.
     Current,
-    /// It was made before the window.
+    /// It was created before the window.
     TooOld,
-    /// It claims to be made later than clock skew explains.
+    /// Its timestamp is further in the future than clock skew can explain.
     InFuture,
 }
 
-/// The wall-clock time an id carries, since the Unix epoch; nothing for ids of other versions.
+/// Creation time of an id since the Unix epoch; `None` for UUIDs of other versions.
 ///
 /// ```
 /// use greengagearch::request::request_id::id_time;
@@ -38,7 +38,7 @@
     Some(Duration::new(seconds, nanos))
 }
 
-/// The time span for which ids of a service are remembered.
+/// Retention window for the ids of a service with this largest deadline.
 ///
 /// ```
 /// use std::time::Duration;
@@ -51,7 +51,7 @@
     largest_deadline + 2 * MAX_CLOCK_SKEW
 }
 
-/// Judges an id's time at the wall-clock time `now`, since the Unix epoch.
+/// Age of an id created at `time`, at the wall-clock time `now`; both are since the Unix epoch.
 ///
 /// ```
 /// use std::time::Duration;
@@ -75,8 +75,8 @@
     }
 }
 
-/// The wall-clock time at which an id made at `time` may be forgotten: by then every owner calls it
-/// too old, however the clocks differ.
+/// Wall-clock time at which an id created at `time` may be removed: from then on, every owner
+/// treats the id as too old, even at the largest clock skew.
 ///
 /// ```
 /// use std::time::Duration;
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -1,8 +1,9 @@
-//! What an agent remembers of the non-idempotent requests it was sent.
+//! Journal of the non-idempotent requests that were dispatched to an agent.
 //!
-//! The journal is what makes "at most once" hold when the owner of a partition changes: a new owner
-//! asks the agents, and an agent that never saw an id writes a tombstone with the new owner's epoch.
-//! From then on it refuses the id to owners of earlier epochs; the new owner may run it once.
+//! The journal ensures that a request runs at most once when the owner of its partition changes.
+//! The new owner asks the agents about the request id, and an agent that has no entry for it
+//! records a tombstone with the new owner's epoch. From then on the agent refuses the id to owners
+//! of earlier epochs, while the new owner may dispatch it once.
 
 use std::time::Duration;
 
@@ -23,50 +24,50 @@
     Tombstone(LeaseEpoch),
 }
 
-/// What to do with a dispatch.
+/// What to do with a dispatched request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalDecision {
-    /// It is new: run it, then call [`RequestJournal::end`].
+    /// The id is new: run the request, then call [`RequestJournal::end`].
     Run,
-    /// It is being run: wait for its outcome.
+    /// The request is running: wait for its outcome.
     Wait,
-    /// It ended before, like this.
+    /// The request has already ended with this outcome.
     Ended(RequestOutcome),
-    /// A later owner has settled it; the sender of this order must not run it.
+    /// A later owner has settled the id: do not run the request.
     Refuse,
 }
 
-/// An agent's word on an id that may have been run by an earlier owner.
+/// Answer of an agent to a new owner that settles an id, which an earlier owner may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettleAnswer {
-    /// Never seen, and from now on refused to earlier owners.
+    /// The id was never run here, and is from now on refused to earlier owners.
     NeverRun,
-    /// Still at work.
+    /// The request is running.
     Running,
-    /// It ended like this.
+    /// The request ended with this outcome.
     Ended(RequestOutcome),
-    /// This agent's memory does not reach back to the id.
+    /// The journal does not reach back to the creation of the id.
     CannotTell,
-    /// This agent has just started and does not know yet what the run before it left.
+    /// The agent has just started and has not yet read the journal of its previous run.
     NotReady,
 }
 
-/// What one run of an agent passes on to the next when it stops gracefully.
+/// Journal that an agent stores at a graceful stop, to be read by the next run of the agent.
 ///
-/// Answers are left out: the next run only has to know that an id was run.
+/// Responses are left out: the next run only has to know that an id was run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalHandover {
-    /// Epoch of the lease under which the journal was written.
+    /// Epoch of the worker lease under which the journal was written.
     pub epoch: LeaseEpoch,
-    /// Wall-clock time from which every dispatch is remembered.
+    /// Wall-clock time from which the journal contains every dispatch.
     #[serde(rename = "remembers_since")]
     pub complete_since: Duration,
-    /// Ids that were run, each with the time at which it may be forgotten.
+    /// Ids that were run, each with its expiry time.
     pub ids: Vec<(RequestId, Duration)>,
 }
 
 impl JournalHandover {
-    /// What the run that left this would have answered about an id whose own time is `id_time`.
+    /// Answer that the previous run would have given about an id created at `id_time`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -89,23 +90,23 @@
     }
 }
 
-/// Whether a memory that begins at `since` holds every order for an id whose own time is `id_time`:
-/// an id is accepted up to one skew ahead of an entry's clock, which may itself be one skew ahead
-/// of the agent's.
+/// Whether a journal that is complete from `since` contains every dispatch of an id created at
+/// `id_time`. An id is accepted up to one clock skew ahead of an entry's clock, which itself may be
+/// one clock skew ahead of the agent's.
 fn is_complete_for(since: Duration, id_time: Duration) -> bool {
     id_time >= since + 2 * MAX_CLOCK_SKEW
 }
 
-/// Ids of non-idempotent requests at one agent.
+/// Journal of the non-idempotent requests at one agent.
 #[derive(Debug, Default)]
 pub struct RequestJournal {
     ids: ExpiringIdMap<JournalState>,
-    /// Wall-clock time from which every dispatch is remembered.
+    /// Wall-clock time from which the journal contains every dispatch.
     complete_since: Duration,
 }
 
 impl RequestJournal {
-    /// An empty journal that can vouch for everything sent to it after `now`.
+    /// Creates an empty journal that is complete from `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -118,7 +119,7 @@
         RequestJournal { ids: ExpiringIdMap::default(), complete_since: now }
     }
 
-    /// Says that every dispatch from `time` on is remembered here, and none before for certain.
+    /// Marks the journal as complete only from `time` on: an earlier dispatch may be missing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -131,7 +132,7 @@
         self.complete_since = self.complete_since.max(time);
     }
 
-    /// Says that no run before this one ever took an order, so that every id is vouched for.
+    /// Marks the journal as complete for all time: no earlier run of the agent accepted a dispatch.
     ///
     /// ```
     /// use std::time::Duration;
@@ -144,7 +145,7 @@
         self.complete_since = Duration::ZERO;
     }
 
-    /// What the next run of the agent has to know; nothing may be begun here any more.
+    /// Exports the journal for the next run of the agent; no request may begin here afterwards.
     ///
     /// ```
     /// use std::time::Duration;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Takes over what the run just before this one knew, before anything is begun here.
+    /// Imports the journal of the previous run; has to be called before any request begins here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Looks up an order of the owner at `epoch` and marks it as running when it is new.
+    /// Looks up a request dispatched by the owner at `epoch`, and records it as running if it is
+    /// new.
     ///
     /// ```
     /// use std::time::Duration;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Records how a dispatch ended; one that was not run is forgotten.
+    /// Records the outcome of a request; one that was not run is removed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -237,8 +239,8 @@
         }
     }
 
-    /// Answers the question of the owner at `epoch` about an id whose own time is `id_time`; an id
-    /// that was never seen gets a tombstone. All times are wall-clock times since the Unix epoch.
+    /// Settles an id created at `id_time` for the owner at `epoch`; an id without an entry gets a
+    /// tombstone. All times are wall-clock times since the Unix epoch.
     ///
     /// ```
     /// use std::time::Duration;
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Forgets ids whose time has come; running ones stay.
+    /// Removes expired ids, except for those that are running.
     ///
     /// ```
     /// use std::time::Duration;
@@ -287,7 +289,7 @@
         self.ids.remove_expired(now, |state| matches!(state, JournalState::Running));
     }
 
-    /// Number of ids that are remembered.
+    /// Number of ids in the journal.
     ///
     /// ```
     /// use std::time::Duration;
@@ -300,7 +302,7 @@
         self.ids.len()
     }
 
-    /// Whether no id is remembered.
+    /// Whether the journal contains no ids.
     ///
     /// ```
     /// use std::time::Duration;
@@ -321,7 +323,7 @@
     use super::*;
 
     #[test]
-    fn a_restarted_agent_cannot_vouch_for_older_ids() {
+    fn a_restarted_agent_cannot_tell_about_older_ids() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
         let id = RequestId::now_v7();
         let answer =
@@ -331,7 +333,7 @@
     }
 
     #[test]
-    fn the_first_run_of_all_vouches_for_every_id() {
+    fn the_first_run_settles_ids_of_any_age() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
         journal.set_complete();
         let id = RequestId::now_v7();
@@ -350,7 +352,7 @@
     }
 
     #[test]
-    fn the_next_run_vouches_for_what_was_handed_over() {
+    fn the_next_run_settles_ids_of_the_imported_journal() {
         let mut before = RequestJournal::new(Duration::ZERO);
         let (ran, fresh) = (RequestId::now_v7(), RequestId::now_v7());
         before.begin(ran, 1, Duration::from_secs(90));
@@ -363,7 +365,7 @@
     }
 
     #[test]
-    fn a_tombstone_is_kept_for_its_window() {
+    fn a_tombstone_is_kept_until_it_expires() {
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
--- a/src/request/request_ledger.rs
+++ b/src/request/request_ledger.rs
@@ -1,4 +1,6 @@
-//! What the owner of a partition remembers of non-idempotent requests.
+//! Ledger of the non-idempotent requests that the owner of a partition runs.
+//!
+//! A repeated request gets the outcome of the first one with the same id instead of a second run.
 
 use std::time::Duration;
 
@@ -19,28 +21,28 @@
     state: LedgerState,
 }
 
-/// What to do with a request whose id was looked up.
+/// What to do with a request after its id was looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerDecision {
-    /// It is new here: run it, then call [`RequestLedger::end`].
+    /// The id is new: run the request, then call [`RequestLedger::end`].
     Run,
-    /// It is being run: wait for its outcome.
+    /// The request is running: wait for its outcome.
     Wait,
-    /// It ended before, like this.
+    /// The request has already ended with this outcome.
     Ended(RequestOutcome),
-    /// The id came before with another body.
+    /// The id was used before with a different body.
     Conflict,
 }
 
-/// Ids of one owner, with what became of them.
+/// Ids of the requests of one owner with their outcomes.
 #[derive(Debug, Default)]
 pub struct RequestLedger {
     ids: ExpiringIdMap<LedgerEntry>,
 }
 
 impl RequestLedger {
-    /// Looks an id up and marks it as in flight when it is new. It is kept until the wall-clock
-    /// time `expires_at` at least.
+    /// Looks up an id, and records it as in flight if it is new. It is kept at least until the
+    /// wall-clock time `expires_at`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -72,8 +74,8 @@
         LedgerDecision::Run
     }
 
-    /// Records how a request ended. One that was provably not run is forgotten, so that its caller
-    /// may try again.
+    /// Records the outcome of a request. The id of one that was provably not run is removed, so
+    /// that the caller may retry it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Forgets ids whose time has come; those in flight stay.
+    /// Removes expired ids, except for those in flight.
     ///
     /// ```
     /// use std::time::Duration;
@@ -113,7 +115,7 @@
         self.ids.remove_expired(now, |entry| matches!(entry.state, LedgerState::InFlight));
     }
 
-    /// Number of ids that are remembered.
+    /// Number of ids in the ledger.
     ///
     /// ```
     /// assert_eq!(greengagearch::request::request_ledger::RequestLedger::default().len(), 0);
@@ -122,7 +124,7 @@
         self.ids.len()
     }
 
-    /// Whether no id is remembered.
+    /// Whether the ledger contains no ids.
     ///
     /// ```
     /// assert!(greengagearch::request::request_ledger::RequestLedger::default().is_empty());
@@ -138,7 +140,7 @@
     use crate::request::outcome::UnknownReason;
 
     #[test]
-    fn an_unknown_outcome_is_kept_and_never_run_again() {
+    fn a_request_with_an_unknown_outcome_is_never_run_again() {
         let mut ledger = RequestLedger::default();
         let id = RequestId::now_v7();
         ledger.begin(id, 1, Duration::from_secs(10));
@@ -149,7 +151,7 @@
     }
 
     #[test]
-    fn an_id_in_flight_outlives_its_window() {
+    fn an_id_in_flight_does_not_expire() {
         let mut ledger = RequestLedger::default();
         let id = RequestId::now_v7();
         ledger.begin(id, 1, Duration::from_secs(1));
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -1,9 +1,10 @@
-//! A budget that bounds retries to a share of the requests.
+//! Budget that limits retries to a share of the requests.
 
-/// Retries that may be saved up in quiet times.
+/// Largest number of unused retries that can accumulate.
 const MAX_BALANCE: f64 = 20.0;
 
-/// A token bucket filled by requests: each request adds a share of a retry, each retry takes one.
+/// Token bucket filled by requests: each request adds a share of a retry, each retry takes a whole
+/// one.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -11,7 +12,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each request, with a full balance.
+    /// Creates a budget of `share` retries for each request, with a full balance.
     ///
     /// ```
     /// use greengagearch::request::retry_budget::RetryBudget;
@@ -23,7 +24,7 @@
         RetryBudget { share, balance: MAX_BALANCE }
     }
 
-    /// Changes the share; the balance stays.
+    /// Changes the share of retries; the balance stays the same.
     ///
     /// ```
     /// greengagearch::request::retry_budget::RetryBudget::new(0.1).set_share(0.2);
@@ -32,7 +33,7 @@
         self.share = share;
     }
 
-    /// Counts a first try.
+    /// Records a first attempt, which adds to the balance.
     ///
     /// ```
     /// greengagearch::request::retry_budget::RetryBudget::new(0.1).on_request();
@@ -41,7 +42,7 @@
         self.balance = (self.balance + self.share).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry from the balance, if it contains one. Returns whether it did.
     ///
     /// ```
     /// use greengagearch::request::retry_budget::RetryBudget;
--- a/src/request/routing.rs
+++ b/src/request/routing.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing an endpoint.
+//! Routing policies, which choose an endpoint for a request.
 
 use std::str::FromStr;
 
@@ -6,24 +6,25 @@
 use rand::RngExt;
 use snafu::Snafu;
 
-/// A way of choosing among endpoints with a free slot.
+/// Policy for choosing among endpoints with a free slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// Any of them.
+    /// A random endpoint.
     Random,
-    /// The one with the smallest load.
+    /// The endpoint with the smallest load.
     LeastLoaded,
-    /// The less loaded of two drawn at random (Mitzenmacher, "The Power of Two Choices in
+    /// The less loaded of two random endpoints (Mitzenmacher, "The Power of Two Choices in
     /// Randomized Load Balancing", 2001).
     #[default]
     TwoChoices,
-    /// Two choices within the entry's failure domain; the others only when it has none free.
+    /// Two choices within the entry's failure domain; other domains only when it has no free
+    /// endpoint.
     LocalFirst,
 }
 
-/// The text named no routing way.
+/// The text is not the name of a routing policy.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("allowed are random, least-loaded, two-choices and local-first"))]
+#[snafu(display("expected one of random, least-loaded, two-choices, local-first"))]
 pub struct UnknownRoutingPolicy;
 
 impl FromStr for RoutingPolicy {
@@ -40,19 +41,19 @@
     }
 }
 
-/// An endpoint that may be chosen.
+/// An endpoint that can be chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteCandidate {
     /// Position among the service's endpoints.
     pub index: usize,
-    /// Whether it is in the chooser's failure domain.
+    /// Whether it is in the failure domain of the entry that chooses.
     pub is_local: bool,
-    /// Expected work ahead of a new request: slots in use, each weighed with the endpoint's usual
-    /// time relative to others.
+    /// Expected work at the endpoint: the requests in flight and the new one, weighted by the mean
+    /// response time of the endpoint.
     pub load: f64,
 }
 
-/// Chooses one of the candidates.
+/// Chooses one of the candidates; returns its index among the service's endpoints.
 ///
 /// ```
 /// use rand::SeedableRng;
@@ -90,7 +91,7 @@
     candidates.get(rng.random_range(0..candidates.len()))
 }
 
-/// Starts at a random place, so that ties do not all go to the same endpoint.
+/// Starts at a random candidate, so that ties are spread over the endpoints.
 fn least_loaded<R: Rng>(candidates: &[RouteCandidate], rng: &mut R) -> Option<usize> {
     if candidates.is_empty() {
         return None;
@@ -100,7 +101,8 @@
     rotated.min_by(|a, b| a.load.total_cmp(&b.load)).map(|candidate| candidate.index)
 }
 
-/// The two are different: drawn with replacement, a slow endpoint would win against itself.
+/// Draws two different candidates: drawn with replacement, the most loaded endpoint could be
+/// compared with itself and win.
 fn two_choices<R: Rng>(candidates: &[RouteCandidate], rng: &mut R) -> Option<usize> {
     if candidates.len() < 2 {
         return candidates.first().map(|only| only.index);
@@ -131,7 +133,7 @@
     }
 
     #[test]
-    fn the_worst_of_all_never_wins_between_two() {
+    fn the_most_loaded_endpoint_is_never_chosen() {
         let candidates: Vec<RouteCandidate> = (0..4)
             .map(|index| candidate(index, true, if index == 2 { 5.0 } else { 1.0 }))
             .collect();
@@ -146,7 +148,7 @@
     }
 
     #[test]
-    fn others_are_chosen_only_when_none_is_local() {
+    fn endpoints_of_other_domains_are_chosen_only_without_a_local_one() {
         let mut rng = StdRng::seed_from_u64(1);
         let mixed = [candidate(0, false, 0.0), candidate(1, true, 9.0)];
         assert_eq!(choose(RoutingPolicy::LocalFirst, &mixed, &mut rng), Some(1));
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -1,4 +1,4 @@
-//! An entry's view of one service: its endpoints, their slots, and the requests that wait.
+//! Pool of the endpoints of one service at an entry, with the requests that wait for a slot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,45 +25,48 @@
 use crate::request::routing::RoutingPolicy;
 use crate::request::routing::choose;
 
-/// Assumed time of a request before any was measured.
+/// Mean response time that is assumed before the first response.
 const INITIAL_MEAN_TIME: Duration = Duration::from_millis(5);
-/// Part of the expected wait and of the expected time that is added before both are held against a
-/// deadline: an estimate that is right on the average makes half of the answers late.
+/// Factor on the expected wait in the queue before it is compared with the deadline: an estimate
+/// that is right on average would make half of the responses late.
 const WAIT_MARGIN: f64 = 1.05;
+/// Factor on the mean response time before it is compared with the deadline: requests that take
+/// longer than the mean would otherwise be late.
 const RESPONSE_TIME_MARGIN: f64 = 1.25;
-/// Share of the mean time that must be left when a waiting request gets its slot.
+/// Share of the mean response time that must remain until the deadline for a waiting request to be
+/// sent to an endpoint.
 const MIN_TIME_LEFT: f64 = 0.9;
-/// Requests of one caller that may always wait.
+/// Smallest number of queued requests that counts as a caller's share, however short the queue.
 const MIN_CALLER_SHARE: usize = 4;
-/// When to come back after a refusal for want of endpoints.
+/// Time after which a request may be retried that was refused because there is no usable endpoint.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request that asks for a slot gets.
+/// Decision on a request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// This endpoint, at once.
+    /// The request occupies a slot of this endpoint and is sent to it.
     Granted(EndpointKey),
-    /// A place in the queue.
+    /// The request waits in the queue.
     Queued,
-    /// Nothing.
+    /// The request is not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: NotRunReason,
-        /// When it is worth coming back.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// What became of a request that waited.
+/// Decision on a request that was waiting in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TicketResult {
-    /// The request's number.
+    /// Identifier of the request in the queue.
     pub ticket: TicketNumber,
-    /// A grant or a refusal.
+    /// Granted or refused.
     pub decision: SlotDecision,
 }
 
-/// Endpoints and queue of one service.
+/// Endpoints and request queue of one service.
 #[derive(Debug)]
 pub struct ServicePool {
     policy: RoutingPolicy,
@@ -71,12 +74,12 @@
     endpoints: BTreeMap<EndpointKey, PoolEndpoint>,
     queue: DeadlineQueue,
     mean_seconds: f64,
-    /// Budget of retries after lost answers.
+    /// Budget of retries after lost responses.
     pub retry_budget: RetryBudget,
 }
 
 impl ServicePool {
-    /// An empty pool of an entry in `domain`.
+    /// Creates an empty pool for an entry in the failure domain `domain`.
     ///
     /// ```
     /// use greengagearch::request::routing::RoutingPolicy;
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Puts the rules of a newer document in force.
+    /// Applies the routing policy and the retry share of a newer document.
     ///
     /// ```
     /// # use greengagearch::request::routing::RoutingPolicy;
@@ -133,7 +136,7 @@
         self.endpoints.values().filter(|endpoint| !endpoint.is_leaving()).count()
     }
 
-    /// The endpoints as operators see them, under the name of the service.
+    /// Statuses of the endpoints for operators; `service` is the name of the service.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -153,8 +156,8 @@
         all.collect()
     }
 
-    /// Takes in an agent's report of its endpoints of this service; those it leaves out, and those
-    /// of the agent's earlier runs, are gone.
+    /// Records an agent's report on its endpoints of this service. Endpoints of the worker that the
+    /// report does not contain, or that an earlier run of the agent announced, are removed.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -162,7 +165,8 @@
     /// # use greengagearch::request::pool_endpoint::{AgentLocation, EndpointReport};
     /// # use greengagearch::request::service_pool::ServicePool;
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
-    /// let location = AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
+    /// let location =
+    ///     AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
     /// let report = EndpointReport { endpoint: "r1".into(), service: "spots".into(), slots: 8,
     ///     in_flight: 0, leaving: false };
     /// pool.on_report(&location, &[report], Instant::now());
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Drops all endpoints of a worker whose agent is silent.
+    /// Removes all endpoints of a worker whose agent does not respond.
     ///
     /// ```
     /// # use greengagearch::request::routing::RoutingPolicy;
@@ -195,7 +199,7 @@
         self.endpoints.retain(|key, _| key.worker != worker);
     }
 
-    /// Asks for a slot for a request.
+    /// Requests a slot. Also returns the refusal of a waiting request that was displaced, if any.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -228,7 +232,7 @@
         self.enqueue(request, slots, now)
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a request and records the result of the request.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -251,7 +255,7 @@
         }
     }
 
-    /// Takes in what an answer says of its endpoint.
+    /// Records the load that an agent reported for an endpoint with a response.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -268,7 +272,8 @@
         }
     }
 
-    /// Gives free slots to waiting requests and refuses those whose time is up.
+    /// Grants free slots to waiting requests and refuses those that can no longer meet their
+    /// deadline.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -294,7 +299,7 @@
         results
     }
 
-    /// Drops a waiting request whose caller has gone. Gives whether it was waiting.
+    /// Removes a waiting request whose caller has disconnected. Returns whether it was waiting.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -307,7 +312,7 @@
         self.queue.remove(deadline, ticket)
     }
 
-    /// Mean time of a request at an endpoint.
+    /// Mean response time of the endpoints.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -358,7 +363,8 @@
         }
     }
 
-    /// Makes room for a caller that has less than its share of a full queue.
+    /// Displaces a request of another caller if the caller of `request` has less than its share of
+    /// a queue of at most `max_len` requests.
     fn displace_for(&mut self, request: &QueuedRequest, max_len: usize) -> Option<QueuedRequest> {
         let own = self.queue.caller_len(&request.caller);
         let others = self.queue.caller_count() - usize::from(own > 0);
--- a/src/request/task_plan.rs
+++ b/src/request/task_plan.rs
@@ -1,8 +1,8 @@
-//! Which queued tasks start next, and where.
+//! Selection of the queued tasks that start next, and of their workers.
 //!
-//! Teams get fair shares by dominant resource, each relative to its quota. Within a team urgent
-//! tasks go first, then older ones. A task that has waited long goes before all shares, so that
-//! nothing starves.
+//! Teams share the cluster by dominant resource fairness, each relative to its quota. Within a
+//! team, urgent tasks start first, then those that have waited longest. A task that has waited for
+//! a long time starts regardless of the teams' shares, which prevents starvation.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,12 +19,13 @@
 use crate::request::placement_policy::choose_worker;
 use crate::request::placement_policy::dominant_share;
 
-/// Waiting time after which a task goes before the teams' shares.
+/// Waiting time after which a task starts regardless of the teams' shares.
 const STARVATION_WAIT: Duration = Duration::from_secs(600);
-/// Tasks of one team that are looked at in one plan when the first ones find no room.
+/// Greatest number of queued tasks of one team that a plan considers, including those that fit on
+/// no worker.
 const MAX_TEAM_CANDIDATES: usize = 64;
 
-/// A queued task as the plan sees it.
+/// A task that waits for a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedTask {
     /// Key of its row.
@@ -33,37 +34,38 @@
     pub team: TeamName,
     /// Kind of the task.
     pub kind: KindName,
-    /// Whether it goes before the team's other work.
+    /// Whether it starts before the team's other tasks.
     pub urgent: bool,
-    /// What would be committed to it.
+    /// Resources to commit to it.
     pub resources: ResourceAmount,
-    /// Workers on which it failed, or from which it was evicted.
+    /// Workers on which it failed or from which it was evicted; used only if no other worker fits.
     pub avoid: Vec<WorkerId>,
     /// How long it has waited.
     pub waited: Duration,
 }
 
-/// A team's quota and what it uses.
+/// Quota and resource usage of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamUsage {
-    /// What it may use at most.
+    /// Resources that its tasks may use at most.
     pub quota: ResourceAmount,
-    /// What it uses.
+    /// Resources committed to its tasks.
     pub used: ResourceAmount,
 }
 
-/// A start that was decided.
+/// A task start decided by the plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedStart {
     /// Key of the task's row.
     pub key: String,
-    /// Where it starts.
+    /// Worker on which it starts.
     pub worker: WorkerId,
-    /// What is committed to it.
+    /// Resources committed to it.
     pub resources: ResourceAmount,
 }
 
-/// Plans at most `limit` starts and takes them out of `views` and the teams' shares.
+/// Plans at most `limit` starts, and commits their resources in `views` and in the usage of the
+/// teams.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -112,7 +114,7 @@
     starts
 }
 
-/// Each team's tasks: urgent first, then the longest wait.
+/// Queued tasks by team: urgent tasks first, then those that have waited longest.
 fn queues_by_team(mut queued: Vec<QueuedTask>) -> BTreeMap<TeamName, VecDeque<QueuedTask>> {
     queued.sort_by(|a, b| {
         let urgency = b.urgent.cmp(&a.urgent);
@@ -128,7 +130,8 @@
     queues
 }
 
-/// The team whose first task goes next: long waits, then urgent, then the smallest share.
+/// Team whose first task starts next: long waits come first, then urgent tasks, then the team with
+/// the smallest dominant share.
 fn next_team(
     queues: &BTreeMap<TeamName, VecDeque<QueuedTask>>,
     teams: &BTreeMap<TeamName, TeamUsage>,
@@ -189,7 +192,7 @@
     }
 
     #[test]
-    fn no_worker_and_no_quota_is_exceeded() {
+    fn starts_exceed_neither_workers_nor_quota() {
         let queued = (0..9).map(|n| task(&n.to_string(), "t", false, n)).collect();
         let mut views = [view("w1", 1_000), view("w2", 700)];
         let mut teams = team_usages(&[("t", 1_200)]);
@@ -198,7 +201,7 @@
     }
 
     #[test]
-    fn teams_take_turns_and_urgent_goes_first() {
+    fn urgent_tasks_start_first_then_teams_by_share() {
         let queued = vec![
             task("a1", "a", false, 50),
             task("a2", "a", false, 40),
@@ -211,7 +214,7 @@
     }
 
     #[test]
-    fn a_long_wait_goes_before_shares() {
+    fn a_long_wait_overrides_shares_and_urgency() {
         let queued = vec![task("old", "a", false, 700), task("new", "b", true, 0)];
         let mut views = [view("w1", 500)];
         let mut teams = team_usages(&[("a", 5_000), ("b", 5_000)]);
@@ -220,7 +223,7 @@
     }
 
     #[test]
-    fn a_task_that_fits_nowhere_does_not_hold_others_up() {
+    fn a_task_that_fits_on_no_worker_does_not_block_others() {
         let mut big = task("big", "a", true, 99);
         big.resources = amount(2_000);
         let mut views = [view("w1", 500)];
--- a/src/version/catalog.rs
+++ b/src/version/catalog.rs
@@ -1,4 +1,4 @@
-//! The documents in force in a process, under one generation that never goes back.
+//! Catalog of the service documents in effect in a process, under a generation that only increases.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::ids::TeamName;
 use crate::version::document::ServiceDocument;
 
-/// Key of the row that holds the generation.
+/// Key of the row that stores the generation.
 pub const GENERATION_KEY: &str = "generation";
-/// Prefix of the keys of documents.
+/// Prefix of the keys of document rows.
 pub const DOCUMENT_PREFIX: &str = "document/";
 
 /// Key of a document's row.
@@ -27,34 +27,35 @@
     format!("{DOCUMENT_PREFIX}{service}")
 }
 
-/// One change in a document's history.
+/// A change in the history of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentChange {
-    /// Revision that the change made.
+    /// Revision of the document after the change.
     pub revision: RevisionNumber,
-    /// Generation that it came into force with.
+    /// Generation with which the change took effect.
     pub generation: GenerationNumber,
-    /// The team that signed in.
+    /// Team that was authenticated for the change.
     pub team: TeamName,
-    /// Wall-clock time in milliseconds since the Unix epoch.
+    /// Wall-clock time of the change, in milliseconds since the Unix epoch.
     pub at_millis: u64,
-    /// Token of the change, made by whoever applied it; tells a repeat from a race.
+    /// Token chosen by the client that made the change; distinguishes a repeated call from a
+    /// concurrent change by another client.
     pub token: String,
 }
 
-/// The row of a document.
+/// Stored row of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentRow {
-    /// The service.
+    /// Service that the document describes.
     pub service: ServiceName,
-    /// INI text.
+    /// Text of the document, in INI format.
     pub text: String,
-    /// Changes, the newest last; the newest ones only.
+    /// Most recent changes, in ascending order of their revisions.
     pub history: Vec<DocumentChange>,
 }
 
 impl DocumentRow {
-    /// Revision in the row; zero when there is no change yet.
+    /// Current revision; zero if there is no change yet.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentRow;
@@ -66,7 +67,7 @@
         self.history.last().map_or(0, |change| change.revision)
     }
 
-    /// Generation that the newest change came into force with.
+    /// Generation with which the latest change took effect; zero if there is no change yet.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentRow;
@@ -79,16 +80,16 @@
     }
 }
 
-/// Documents under one generation, as processes pass them on: all, or those that changed.
+/// Document rows of one generation, as sent between processes: all of them, or those that changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentSet {
-    /// The generation.
+    /// Generation of the catalog that sent them.
     pub generation: GenerationNumber,
-    /// The rows.
+    /// Rows of the documents.
     pub rows: Vec<DocumentRow>,
 }
 
-/// Documents in force.
+/// Service documents in effect, with their rows.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCatalog {
     generation: GenerationNumber,
@@ -97,7 +98,9 @@
 }
 
 impl DocumentCatalog {
-    /// Puts changed documents in force unless their generation is not newer. Gives whether it did.
+    /// Applies changed documents if their generation is newer. Returns whether it was.
+    ///
+    /// If a document cannot be parsed, its row is stored but the previous document stays in effect.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentCatalog;
@@ -122,7 +125,7 @@
         true
     }
 
-    /// The generation in force.
+    /// Generation in effect.
     ///
     /// ```
     /// assert_eq!(greengagearch::version::catalog::DocumentCatalog::default().generation(), 0);
@@ -131,7 +134,7 @@
         self.generation
     }
 
-    /// The document of a service.
+    /// Document of a service.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentCatalog;
@@ -153,7 +156,7 @@
         self.documents.values()
     }
 
-    /// The documents that changed after generation `since`, to be passed on.
+    /// Rows of the documents that changed after generation `since`, to be sent to another process.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentCatalog;
@@ -166,7 +169,7 @@
         DocumentSet { generation: self.generation, rows }
     }
 
-    /// The row of a service.
+    /// Row of a service's document.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentCatalog;
@@ -177,7 +180,8 @@
         self.rows.get(service)
     }
 
-    /// What a team's batch tasks may use; nothing when the team owns no document.
+    /// Resources that a team's batch tasks may use, summed over its documents; `None` if the team
+    /// owns no document.
     ///
     /// ```
     /// use greengagearch::version::catalog::DocumentCatalog;
--- a/src/version/document.rs
+++ b/src/version/document.rs
@@ -1,4 +1,4 @@
-//! The document of a service: what its owner declares.
+//! Document in which the owner of a service declares its objective, request rules and batch quota.
 
 use std::time::Duration;
 
@@ -9,64 +9,64 @@
 use crate::process::ini_reader::IniReader;
 use crate::request::routing::RoutingPolicy;
 
-/// Longest deadline that a document may allow.
+/// Greatest value of `largest-deadline`.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
-/// Largest body of a request in bytes that a document may allow.
+/// Greatest value of `largest-body`.
 const MAX_BODY_BYTES: u64 = 4 << 20;
-/// Most cores, gibibytes or accelerators that a quota may name.
+/// Greatest number of cores, gibibytes or accelerators in a quota.
 const MAX_QUOTA: u64 = 1_000_000;
 
-/// The objective that the burn report measures against.
+/// Service level objective; the burn report shows how much of its error budget is used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceObjective {
-    /// A good answer comes within this time.
+    /// Time within which a request has to be answered to count as good.
     pub latency: Duration,
-    /// Percentage of requests that shall be good.
+    /// Percentage of the requests that have to be good.
     pub percent: f64,
-    /// Time span over which the budget is counted.
+    /// Time window over which the error budget is counted.
     pub window: Duration,
 }
 
-/// What is declared about requests.
+/// Rules for the requests of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRules {
-    /// Whether a request may run more than once.
+    /// Whether a request may be run more than once.
     pub idempotent: bool,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not set one.
     pub default_deadline: Duration,
-    /// Largest deadline that a request may name.
+    /// Greatest deadline that a request may set.
     pub largest_deadline: Duration,
-    /// Largest body in bytes.
+    /// Greatest size of a request body in bytes.
     pub largest_body: usize,
-    /// Way of choosing an endpoint.
+    /// Policy for choosing an endpoint.
     pub routing: RoutingPolicy,
-    /// Whether an endpoint's slots are bounded by what is learned of it.
+    /// Whether the requests in flight at an endpoint are limited by a learned concurrency limit.
     pub adaptive_limit: bool,
-    /// Retries after lost answers, as a share of the requests.
+    /// Retries after lost responses, as a share of the requests.
     pub retry_share: f64,
 }
 
 /// The parsed document of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceDocument {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// The team whose key may change the document.
+    /// Team that owns the service and may change the document with its key.
     pub owner: TeamName,
-    /// The service's objective.
+    /// Service level objective.
     pub objective: ServiceObjective,
-    /// Rules for its requests.
+    /// Rules for requests.
     pub requests: RequestRules,
-    /// What the owner's batch tasks may use at most.
+    /// Resources that the owner's batch tasks may use at most.
     pub quota: ResourceAmount,
 }
 
 impl ServiceDocument {
-    /// Parses and checks the text of a document.
+    /// Parses and validates the text of a document; `file` is the name used in findings.
     ///
     /// # Errors
     ///
-    /// All findings, each with its line.
+    /// Returns all findings, each with its line.
     ///
     /// ```
     /// use greengagearch::version::document::ServiceDocument;
@@ -84,7 +84,7 @@
             quota: read_quota(&mut reader),
         };
         if document.requests.default_deadline > document.requests.largest_deadline {
-            let message = "must not be larger than largest-deadline";
+            let message = "must not be greater than largest-deadline";
             reader.report("requests", "default-deadline", message);
         }
         reader.finish().or_value(document)
@@ -95,7 +95,7 @@
     let name = reader.required("service", key);
     let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     if !name.chars().all(is_allowed) {
-        reader.report("service", key, "allowed are a-z, 0-9 and '-'");
+        reader.report("service", key, "must contain only the characters a-z, 0-9 and '-'");
     }
     name
 }
@@ -147,7 +147,7 @@
     use super::*;
 
     #[test]
-    fn every_finding_is_reported_with_its_line() {
+    fn all_findings_are_reported_with_their_lines() {
         let text = "[service]\nname = Spots\nowner = sendeplan\n[objective]\npercent = 101\n\
                     [requests]\nidempotent = maybe\nretries = 3\n";
         let findings = ServiceDocument::parse("spots.ini", text).unwrap_err();
@@ -163,7 +163,7 @@
     }
 
     #[test]
-    fn a_default_deadline_above_the_largest_is_refused() {
+    fn a_default_deadline_above_the_largest_is_rejected() {
         let text = "[service]\nname = s\nowner = o\n[requests]\ndefault-deadline = 9s\n\
                     largest-deadline = 3s\n";
         let findings = ServiceDocument::parse("s.ini", text).unwrap_err();
--- a/src/version/mod.rs
+++ b/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version of the configuration: documents and the generation in force.
+//! Versioned configuration: service documents and their catalog, and the queues of jobs.
 
 pub mod catalog;
 pub mod document;
--- a/src/version/queue_table.rs
+++ b/src/version/queue_table.rs
@@ -1,38 +1,38 @@
-//! The queues of the operator's configuration, as one version of it names them.
+//! Queues of jobs in one version of the operator's configuration, with the paths routed to them.
 
 use std::collections::HashMap;
 
 use crate::ids::GenerationNumber;
 use crate::workflow::spec::QueuePolicy;
 
-/// A queue and the paths that belong to it.
+/// Route from request paths to a queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueRoute {
-    /// What the paths begin with.
+    /// Prefix of the paths.
     pub prefix: String,
-    /// How the queue is treated.
+    /// Policy of the queue.
     pub policy: QueuePolicy,
 }
 
-/// What a request of a caller may be.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest body in bytes.
+    /// Greatest size of a request body in bytes.
     pub max_body_bytes: usize,
 }
 
 /// All queues of one version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueTable {
-    /// The version.
+    /// Version of the configuration.
     pub version: GenerationNumber,
-    /// What a request may be.
+    /// Limits on requests.
     pub limits: RequestLimits,
     routes: HashMap<String, Vec<QueueRoute>>,
 }
 
 impl QueueTable {
-    /// Makes a table of routes, each with its host.
+    /// Creates a table of routes, each with its host.
     ///
     /// ```
     /// use greengagearch::version::queue_table::RequestLimits;
@@ -51,13 +51,13 @@
             by_host.entry(host).or_default().push(route);
         }
         for routes in by_host.values_mut() {
-            // The longest prefix is found first.
+            // `find_route` takes the first match, which has to be the one with the longest prefix.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         QueueTable { version, limits, routes: by_host }
     }
 
-    /// The queue that a path at a host belongs to, and the rest of the path.
+    /// Finds the route for a path at a host; also returns the path after the prefix.
     ///
     /// ```
     /// use greengagearch::version::queue_table::RequestLimits;
@@ -71,7 +71,7 @@
         routes.iter().find_map(|route| Some((route, path.strip_prefix(route.prefix.as_str())?)))
     }
 
-    /// The policy of a queue by its name.
+    /// Policy of the queue with this name.
     ///
     /// ```
     /// use greengagearch::version::queue_table::RequestLimits;
@@ -85,7 +85,7 @@
         routes.map(|route| &route.policy).find(|policy| policy.queue == name)
     }
 
-    /// Number of queues.
+    /// Number of routes.
     ///
     /// ```
     /// use greengagearch::version::queue_table::RequestLimits;
@@ -98,7 +98,7 @@
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no queue.
+    /// Whether the table has no routes.
     ///
     /// ```
     /// use greengagearch::version::queue_table::RequestLimits;
