--- a/src/request/expiring_id_map.rs
+++ b/src/request/expiring_id_map.rs
@@ -32,7 +32,7 @@
     /// assert_eq!(ExpiringIdMap::<u32>::default().get(&uuid::Uuid::now_v7()), None);
     /// ```
     pub fn get(&self, id: &RequestId) -> Option<&S> {
-        self.ids.get(id).map(|entry| &entry.state)
+        self.ids.get(id).map(|known| &known.state)
     }
 
     /// Sets the state of an id and the time until which it is kept at least.
@@ -59,8 +59,8 @@
     /// ExpiringIdMap::default().change(&uuid::Uuid::now_v7(), 7);
     /// ```
     pub fn change(&mut self, id: &RequestId, state: S) {
-        if let Some(entry) = self.ids.get_mut(id) {
-            entry.state = state;
+        if let Some(known) = self.ids.get_mut(id) {
+            known.state = state;
         }
     }
 
@@ -89,7 +89,7 @@
     /// assert!(ids.is_empty());
     /// ```
     pub fn remove_expired(&mut self, now: Duration, is_in_use: impl Fn(&S) -> bool) {
-        self.ids.retain(|_, entry| entry.expires_at > now || is_in_use(&entry.state));
+        self.ids.retain(|_, known| known.expires_at > now || is_in_use(&known.state));
     }
 
     /// All ids with their states and expiry times.
@@ -100,7 +100,7 @@
     /// assert_eq!(ExpiringIdMap::<u32>::default().iter().count(), 0);
     /// ```
     pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &S, Duration)> {
-        self.ids.iter().map(|(id, entry)| (id, &entry.state, entry.expires_at))
+        self.ids.iter().map(|(id, known)| (id, &known.state, known.expires_at))
     }
 
     /// Number of ids.
--- a/src/request/routing.rs
+++ b/src/request/routing.rs
@@ -138,11 +138,11 @@
             .map(|index| candidate(index, true, if index == 2 { 5.0 } else { 1.0 }))
             .collect();
         let mut rng = StdRng::seed_from_u64(1);
-        for policy in
+        for way in
             [RoutingPolicy::TwoChoices, RoutingPolicy::LocalFirst, RoutingPolicy::LeastLoaded]
         {
             for _ in 0..200 {
-                assert_ne!(choose(policy, &candidates, &mut rng), Some(2), "{policy:?}");
+                assert_ne!(choose(way, &candidates, &mut rng), Some(2), "{way:?}");
             }
         }
     }
