--- a/src/request/concurrency_limit.rs
+++ b/src/request/concurrency_limit.rs
@@ -187,7 +187,7 @@
 
     use super::*;
 
-    const BASE: f64 = 0.02;
+    const BASE_SECONDS: f64 = 0.02;
 
     /// Simulates an endpoint whose requests share `cores` and whose response times are multiplied
     /// by `outside` at each step; returns the limits in the second half of the run.
@@ -201,7 +201,7 @@
             let in_flight = random_level(&mut rng, limit.limit());
             let share = (f64::from(in_flight) / cores).max(1.0);
             let noise = rng.random_range(0.8..1.2);
-            let time = Duration::from_secs_f64(BASE * share * noise * outside(step));
+            let time = Duration::from_secs_f64(BASE_SECONDS * share * noise * outside(step));
             limit.on_response(in_flight, time, now);
             if step >= 10_000 {
                 limits.push(limit.limit());
@@ -249,7 +249,7 @@
                 let now = start + Duration::from_millis(passed);
                 let in_flight = random_level(&mut rng, limit.limit());
                 let share = (f64::from(in_flight) / cores).max(1.0);
-                limit.on_response(in_flight, Duration::from_secs_f64(BASE * share), now);
+                limit.on_response(in_flight, Duration::from_secs_f64(BASE_SECONDS * share), now);
             }
             at_end.push(limit.limit());
         }
--- a/src/request/pool_endpoint.rs
+++ b/src/request/pool_endpoint.rs
@@ -186,7 +186,8 @@
         if self.leaving || !self.health.is_open(now) { 0 } else { self.slots }
     }
 
-    /// Expected time to serve the requests in flight and a new one, in seconds.
+    /// Expected work in seconds: the requests in flight and a new one, times the mean response
+    /// time.
     pub fn load(&self, now: Instant) -> f64 {
         f64::from(self.in_use(now) + 1) * self.mean_seconds
     }
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -1,9 +1,9 @@
 //! Journal of the non-idempotent requests that were dispatched to an agent.
 //!
 //! The journal ensures that a request runs at most once when the owner of its partition changes.
-//! The new owner asks the agents about the request id, and an agent that has no entry for it
-//! records a tombstone with the new owner's epoch. From then on the agent refuses the id to owners
-//! of earlier epochs, while the new owner may dispatch it once.
+//! The new owner first settles the request id: it asks the agents whether an earlier owner had it
+//! run. An agent that has no entry for the id records a tombstone with the new owner's epoch. From
+//! then on it refuses the id to owners of earlier epochs, while the new owner may dispatch it once.
 
 use std::time::Duration;
 
@@ -239,8 +239,9 @@
         }
     }
 
-    /// Settles an id created at `id_time` for the owner at `epoch`; an id without an entry gets a
-    /// tombstone. All times are wall-clock times since the Unix epoch.
+    /// Settles an id created at `id_time` for the owner at `epoch`: returns whether it was run
+    /// here, and records a tombstone if the journal has no entry for it. All times are wall-clock
+    /// times since the Unix epoch.
     ///
     /// ```
     /// use std::time::Duration;
