--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -12,12 +12,12 @@
 use greengagearch::connection::node_protocol::NodeOrder;
 use greengagearch::connection::node_protocol::NodeReport;
 use greengagearch::connection::node_protocol::PresentRun;
-use greengagearch::connection::node_protocol::RunnerLook;
+use greengagearch::connection::node_protocol::RunnerSnapshot;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::progress::JobRecord;
 use greengagearch::workflow::spec::QueuePolicy;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -85,14 +85,14 @@
             instance: instance(worker),
             service: "s".to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 16_000, memory_mib: 64_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 16_000, memory_mib: 64_000, accelerators: 0 },
             labels: vec!["a".to_string(), format!("r{}", worker / 8)],
             draining: false,
         };
-        let look = RunnerLook {
+        let look = RunnerSnapshot {
             present: self.present[worker].clone(),
             orders_seen: u64::MAX,
-            ..RunnerLook::default()
+            ..RunnerSnapshot::default()
         };
         NodeReport {
             now: Duration::ZERO,
@@ -100,7 +100,7 @@
             former: vec![],
             unsettled: Vec::new(),
             crashes: vec![],
-            look: Some(look),
+            snapshot: Some(look),
         }
     }
 
@@ -118,7 +118,7 @@
             self.planner.on_committed(batch, 1);
         }
         for (instance, order) in self.planner.take_orders() {
-            self.planner.number_order(&instance, std::slice::from_ref(&order));
+            self.planner.assign_order_number(&instance, std::slice::from_ref(&order));
             if let NodeOrder::Start(start) = order {
                 let worker: usize = instance[2..].parse().expect("the name of a worker");
                 let run = PresentRun::ordered(start.traits.task, start.run);
@@ -139,7 +139,7 @@
 fn serving(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: RoomAmount { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
+        resources: ResourceVector { millicores: 3_200, memory_mib: 6_400, accelerators: 0 },
         long_running: true,
         target_ms: TARGET_MS,
         image: format!("serving-{}", number % SERVING_IMAGES),
@@ -150,9 +150,9 @@
 fn filling(number: usize) -> StepSpec {
     StepSpec {
         count: 4,
-        room: RoomAmount { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
+        resources: ResourceVector { millicores: 1_800, memory_mib: 3_200, accelerators: 0 },
         estimate_ms: 2_200,
-        fills: true,
+        best_effort: true,
         checkpoints: true,
         image: format!("filling-{}", number % FILL_IMAGES),
         ..StepSpec::default()
--- a/src/platform/caller_gate.rs
+++ b/src/platform/caller_gate.rs
@@ -29,7 +29,7 @@
 use crate::workflow::progress::JobEnd;
 use crate::workflow::progress::JobStatus;
 use crate::workflow::spec::QueuePolicy;
-use crate::workflow::spec::RoomAmount;
+use crate::workflow::spec::ResourceVector;
 use crate::workflow::spec::StepSpec;
 use crate::workflow::spec::WorkflowSpec;
 
@@ -204,7 +204,7 @@
 fn decode_step(wire: WireStep) -> StepSpec {
     StepSpec {
         count: wire.count,
-        room: RoomAmount {
+        resources: ResourceVector {
             millicores: wire.millicores,
             memory_mib: wire.memory_mib,
             accelerators: wire.accelerators,
@@ -221,8 +221,8 @@
         long_running: wire.long_running,
         image: wire.image,
         target_ms: wire.target_ms,
-        fills: wire.fills,
-        may_miss: wire.may_miss,
+        best_effort: wire.fills,
+        max_unavailable: wire.may_miss,
     }
 }
 
--- a/src/process/node/mod.rs
+++ b/src/process/node/mod.rs
@@ -1,24 +1,24 @@
 //! The node agent: the one process that calls the runner on its host, at the planner's orders.
 
 pub mod begun_runs;
-pub mod fence;
-pub mod known_runner;
-pub mod life_keeper;
-pub mod order_book;
+pub mod fencing_token;
+pub mod instance_recorder;
+pub mod order_attempts;
+pub mod order_sender;
 pub mod order_sequence;
-pub mod order_tries;
-pub mod orders;
+pub mod order_tracker;
 pub mod pending_start;
+pub mod registered_runner;
 pub mod rpc;
 pub mod run_orders;
-pub mod run_start;
+pub mod runner_instances;
 pub mod runner_lease;
-pub mod runner_lives;
+pub mod runner_poller;
 pub mod runner_targets;
 pub mod shared;
+pub mod start_state;
 pub mod state;
 pub mod unsettled_starts;
-pub mod watcher;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 use crate::process::http_server::spawn_http_server;
 use crate::process::logging::log_event;
 use crate::process::metrics::serve_metrics;
-use crate::process::node::life_keeper::LifeKeeper;
+use crate::process::node::instance_recorder::InstanceRecorder;
 use crate::process::node::shared::NodeShared;
 use crate::process::planning::registration::register;
 use crate::process::planning::rows::NODE_TABLE;
@@ -87,9 +87,9 @@
             serve_metrics(address, shared.metrics.clone()).await?;
         }
         rpc::spawn_node_rpc(internal, shared.clone());
-        watcher::spawn_watcher(shared.clone());
+        runner_poller::spawn_runner_poller(shared.clone());
         let reached_at = settings.internal_advertise.unwrap_or(addresses.internal).to_string();
-        LifeKeeper::spawn(shared.clone(), store.clone(), &reached_at);
+        InstanceRecorder::spawn(shared.clone(), store.clone(), &reached_at);
         let router = runner_registry::router(shared);
         spawn_http_server(registry, router, HttpLimits::default(), stop.clone());
         tokio::spawn(register(store, NODE_TABLE, settings.id, reached_at));
--- a/src/process/node/orders.rs
+++ b/src/process/node/order_sender.rs
@@ -11,11 +11,11 @@
 use crate::external::runner_control::RunnerTarget;
 use crate::process::clock;
 use crate::process::logging::log_event;
-use crate::process::node::order_tries::OrderTries;
-use crate::process::node::order_tries::TriedOrder;
+use crate::process::node::order_attempts::OrderAttempts;
+use crate::process::node::order_attempts::OrderKind;
 use crate::process::node::pending_start::StartStep;
 use crate::process::node::shared::NodeShared;
-use crate::workflow::worker_board::RunKey;
+use crate::workflow::worker_inventory::RunKey;
 
 /// Pause before a stop that the runner has not taken is sent again; it doubles up to the longest.
 const STOP_PAUSE: Duration = Duration::from_millis(30);
@@ -23,7 +23,7 @@
 
 /// Takes orders for the present life of the runner; orders for another life are only counted, since the
 /// next report names the present one.
-pub fn take_orders(shared: &Arc<NodeShared>, call: OrderCall) {
+pub fn accept_orders(shared: &Arc<NodeShared>, call: OrderCall) {
     let target = shared.state().target().filter(|target| target.instance == call.instance);
     for order in call.orders {
         match (&target, order) {
@@ -39,17 +39,17 @@
 }
 
 fn take_start(shared: &Arc<NodeShared>, target: &RunnerTarget, order: StartOrder) {
-    if !shared.state().begin_start(&order, clock::now()) {
+    if !shared.state().accept_start(&order, clock::now()) {
         return;
     }
     let key = (order.traits.task.clone(), order.run);
-    let tries = OrderTries::new(TriedOrder::Start, &key, target.epoch);
+    let attempts = OrderAttempts::new(OrderKind::Start, &key, target.epoch);
     let (shared, target) = (shared.clone(), target.clone());
-    tokio::spawn(StartSender { shared, target, order, key, tries }.run());
+    tokio::spawn(StartSender { shared, target, order, key, attempts }.run());
 }
 
 fn take_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
-    if shared.state().begin_stop(&key) {
+    if shared.state().accept_stop(&key) {
         spawn_stop(shared, target, key);
     }
 }
@@ -60,7 +60,7 @@
     target: RunnerTarget,
     order: StartOrder,
     key: RunKey,
-    tries: OrderTries,
+    attempts: OrderAttempts,
 }
 
 impl StartSender {
@@ -74,7 +74,7 @@
                     spawn_stop(&self.shared, &self.target, self.key.clone());
                     break Some(reason);
                 }
-                StartStep::Over(refusal) => break refusal,
+                StartStep::Finished(refusal) => break refusal,
             }
         };
         let outcome = refusal.map_or("settled".to_string(), |reason| format!("{reason:?}"));
@@ -85,7 +85,7 @@
     }
 
     fn next_step(&self) -> StartStep {
-        let room = &self.order.traits.room;
+        let room = &self.order.traits.resources;
         self.shared.state().next_step(&self.target, &self.key, room, clock::now())
     }
 
@@ -95,15 +95,15 @@
         let slot = shared.order_slots.acquire().await;
         let lease_end = {
             let mut state = shared.state();
-            state.begin_try(&self.target, &self.key, &self.order.traits.room, clock::now())
+            state.begin_attempt(&self.target, &self.key, &self.order.traits.resources, clock::now())
         };
         let Some(lease_end) = lease_end else {
             return;
         };
         let answer = shared.control.start(&self.target, &self.order, lease_end).await;
         drop(slot);
-        self.tries.note(&shared.metrics, &answer);
-        shared.state().on_start_answer(&self.target, &self.key, &answer, clock::now());
+        self.attempts.record(&shared.metrics, &answer);
+        shared.state().on_start_response(&self.target, &self.key, &answer, clock::now());
     }
 
     fn log(&self, outcome: &str) {
@@ -116,8 +116,8 @@
                 ("epoch", &self.target.epoch),
                 ("instance", &self.target.instance),
                 ("outcome", &outcome),
-                ("tries", &self.tries.tries()),
-                ("unanswered", &self.tries.unanswered()),
+                ("tries", &self.attempts.attempts()),
+                ("unanswered", &self.attempts.unanswered()),
             ],
         );
     }
@@ -127,13 +127,13 @@
 fn spawn_stop(shared: &Arc<NodeShared>, target: &RunnerTarget, key: RunKey) {
     let (shared, target) = (shared.clone(), target.clone());
     tokio::spawn(async move {
-        let mut tries = OrderTries::new(TriedOrder::Stop, &key, target.epoch);
+        let mut attempts = OrderAttempts::new(OrderKind::Stop, &key, target.epoch);
         let mut pause = STOP_PAUSE;
-        while try_stop(&shared, &target, &key, &mut tries).await {
+        while try_stop(&shared, &target, &key, &mut attempts).await {
             tokio::time::sleep(pause).await;
             pause = LONGEST_STOP_PAUSE.min(pause * 2);
         }
-        log_stop(&target, &key, &tries);
+        log_stop(&target, &key, &attempts);
     });
 }
 
@@ -142,7 +142,7 @@
     shared: &NodeShared,
     target: &RunnerTarget,
     key: &RunKey,
-    tries: &mut OrderTries,
+    attempts: &mut OrderAttempts,
 ) -> bool {
     let slot = shared.order_slots.acquire().await;
     let due = shared.state().stop_target(target, key);
@@ -151,12 +151,12 @@
     };
     let answer = shared.control.stop(&due, &key.0, key.1).await;
     drop(slot);
-    tries.note(&shared.metrics, &answer);
-    shared.state().on_stop_answer(target, key, &answer);
+    attempts.record(&shared.metrics, &answer);
+    shared.state().on_stop_response(target, key, &answer);
     answer.is_err()
 }
 
-fn log_stop(target: &RunnerTarget, key: &RunKey, tries: &OrderTries) {
+fn log_stop(target: &RunnerTarget, key: &RunKey, attempts: &OrderAttempts) {
     log_event(
         Level::Info,
         "task_stop",
@@ -164,8 +164,8 @@
             ("task", &key.0),
             ("run", &key.1),
             ("epoch", &target.epoch),
-            ("outcome", &tries.outcome()),
-            ("tries", &tries.tries()),
+            ("outcome", &attempts.outcome()),
+            ("tries", &attempts.attempts()),
         ],
     );
 }
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -18,10 +18,10 @@
 use crate::process::clock;
 use crate::process::logging::log_event;
 use crate::process::planning::decision_log::log_decision;
-use crate::process::planning::node_link::LinkNews;
+use crate::process::planning::node_link::LinkEvent;
 use crate::process::planning::node_link::NodeLink;
-use crate::process::planning::node_link::OrderParcel;
-use crate::process::planning::office::OwnerProof;
+use crate::process::planning::node_link::OrderBatch;
+use crate::process::planning::ownership::OwnerProof;
 use crate::process::planning::planner_writes::LEARNED_PERIOD;
 use crate::process::planning::planner_writes::WriteTask;
 use crate::process::planning::planner_writes::written;
@@ -39,8 +39,8 @@
 use crate::process::planning::shared::OwnedPlanner;
 use crate::process::planning::shared::PlannerShared;
 use crate::process::planning::table_feed::TableFeed;
-use crate::workflow::grant::predecessors_expired;
-use crate::workflow::learned_effects::LearnedEffects;
+use crate::workflow::grant::predecessor_leases_expired_by;
+use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
 /// Time between two looks at what is due by the clock.
@@ -63,11 +63,11 @@
     agents: BTreeMap<InstanceId, String>,
     /// Lives that an agent called over though they are beside another one, and that agent; each is logged once.
     disputed: BTreeSet<(InstanceId, String)>,
-    news: mpsc::UnboundedSender<LinkNews>,
+    news: mpsc::UnboundedSender<LinkEvent>,
     pub(super) write: Option<WriteTask>,
     pub(super) pulse_due: Instant,
     pub(super) learned_due: Instant,
-    pub(super) learned: LearnedEffects,
+    pub(super) learned: LearnedInterference,
     pub(super) load_log_due: Instant,
     /// Before this the planner does not look for places again.
     plan_after: Instant,
@@ -92,7 +92,7 @@
             write: None,
             pulse_due: clock::now(),
             learned_due: clock::now() + LEARNED_PERIOD,
-            learned: LearnedEffects::default(),
+            learned: LearnedInterference::default(),
             load_log_due: clock::now(),
             plan_after: clock::now(),
             has_news: false,
@@ -106,12 +106,16 @@
         }
     }
 
-    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkNews>) -> StepResult {
+    async fn work(&mut self, mut news: mpsc::UnboundedReceiver<LinkEvent>) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
         let hosts = vec![HOST_PARTITION.to_string()];
-        let mut jobs =
-            TableFeed::spawn(self.shared.clone(), JOB_TABLE, layout.names(), Some(jobs_after));
+        let mut jobs = TableFeed::spawn(
+            self.shared.clone(),
+            JOB_TABLE,
+            layout.partition_names(),
+            Some(jobs_after),
+        );
         let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
         let mut tick = tokio::time::interval(TICK);
         while !self.shared.is_stopping() {
@@ -139,11 +143,14 @@
     /// Reads all jobs and their progress. Gives the version from which on changes of jobs are new.
     async fn load(&mut self) -> Result<RowVersion, String> {
         let answered = self.proof.answered;
-        let expired =
-            if self.proof.has_predecessor { predecessors_expired(answered) } else { answered };
+        let expired = if self.proof.has_predecessor {
+            predecessor_leases_expired_by(answered)
+        } else {
+            answered
+        };
         let mut planner = Planner::new(expired);
         let layout = self.shared.settings.layout;
-        let (jobs, version) = self.read_table(JOB_TABLE, &layout.names()).await?;
+        let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
         let own = [PARTITION.to_string()];
         let (progress, _) = self.read_table(PROGRESS_TABLE, &own).await?;
         let (learned, _) = self.read_table(LEARNED_TABLE, &own).await?;
@@ -153,7 +160,7 @@
         }
         planner.set_time(clock::now(), self.shared.clock.wall_millis());
         if let Some(effects) = learned.iter().find(|row| row.name.key == IMAGES_KEY) {
-            planner.adopt_learned(decode(effects).unwrap_or_default());
+            planner.restore_learned(decode(effects).unwrap_or_default());
         }
         for row in &progress {
             if let Some(known) = decode(row) {
@@ -175,7 +182,7 @@
         if layout == JobLayout::default() {
             return Ok(());
         }
-        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().names()).await?;
+        let (left, _) = self.read_table(JOB_TABLE, &JobLayout::default().partition_names()).await?;
         if !left.is_empty() {
             log_event(Level::Error, "jobs_in_other_partition", &[("jobs", &left.len())]);
         }
@@ -233,9 +240,9 @@
         }
     }
 
-    fn on_news(&mut self, news: LinkNews) -> StepResult {
+    fn on_news(&mut self, news: LinkEvent) -> StepResult {
         match news {
-            LinkNews::Report { address, mut report, is_new_link } => {
+            LinkEvent::Report { address, mut report, is_new_link } => {
                 report.former.retain(|life| self.may_end(&address, life));
                 report.crashes.retain(|crash| report.former.contains(&crash.instance));
                 if let Some(runner) = &report.runner {
@@ -244,11 +251,11 @@
                 self.with_planner(|planner| planner.on_report(*report, is_new_link));
                 Ok(())
             }
-            LinkNews::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
+            LinkEvent::Replaced(newest) if newest.epoch > self.proof.owner.epoch => {
                 Err(format!("an agent knows epoch {}", newest.epoch))
             }
             // An own link that was replaced by a newer one of its own.
-            LinkNews::Replaced(_) => Ok(()),
+            LinkEvent::Replaced(_) => Ok(()),
         }
     }
 
@@ -298,7 +305,7 @@
 
     /// Asks the advice service what the planner wants to know; the answer wakes the loop.
     fn ask_advice(&self) {
-        let questions = self.with_planner(Planner::take_questions).unwrap_or_default();
+        let questions = self.with_planner(Planner::take_advice_queries).unwrap_or_default();
         for question in questions {
             let shared = self.shared.clone();
             tokio::spawn(async move {
@@ -327,14 +334,15 @@
             parcels.entry(instance).or_default().push(order);
         }
         for (instance, orders) in parcels {
-            let numbered = self.with_planner(|planner| planner.number_order(&instance, &orders));
+            let numbered =
+                self.with_planner(|planner| planner.assign_order_number(&instance, &orders));
             let Some(number) = numbered.flatten() else {
                 continue;
             };
             let link = self.agents.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
                 // A link that has ended is replaced, and its orders are sent anew.
-                let _ = link.orders.send(OrderParcel { instance, number, orders });
+                let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
     }
--- a/src/workflow/mod.rs
+++ b/src/workflow/mod.rs
@@ -2,23 +2,20 @@
 //!
 //! Nothing here does input or output or reads a clock; times are arguments.
 
-pub mod advice_book;
+pub mod advice_cache;
 pub mod assigned_run;
 mod changed_jobs;
-pub mod disturbance;
 pub mod grant;
-mod hopeless_needs;
 pub mod job_forecast;
-pub mod job_outlook;
-pub mod learned_effects;
-pub mod over_target;
+pub mod learned_interference;
 pub mod pacing;
+pub mod pair_interference;
 pub mod placement;
 pub mod plan_decision;
 pub mod planner;
 pub mod planner_batch;
+pub mod planner_consolidation;
 mod planner_crashes;
-pub mod planner_gathering;
 pub mod planner_jobs;
 pub mod planner_load;
 pub mod planner_moves;
@@ -26,13 +23,16 @@
 pub mod planner_reports;
 pub mod planner_rounds;
 pub mod progress;
-pub mod room_hold;
+pub mod remaining_work;
+pub mod reservation;
 mod run_pace;
 pub mod serving_layout;
 pub mod spec;
+pub mod target_violations;
 pub mod task_name;
 pub mod task_progress;
 pub mod task_suspicion;
+mod unplaceable_requests;
 mod urgency;
-pub mod worker_board;
 pub mod worker_entry;
+pub mod worker_inventory;
--- a/src/workflow/spec.rs
+++ b/src/workflow/spec.rs
@@ -9,11 +9,11 @@
 
 /// Most tasks of one occurrence of a job, so that its row stays within the store's limit: a task
 /// takes at most about 100 bytes of the 64 KiB.
-pub const LARGEST_WORKFLOW: u32 = 500;
+pub const MAX_WORKFLOW_TASKS: u32 = 500;
 
 /// Resources that a task asks for, or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomAmount {
+pub struct ResourceVector {
     /// Processor time in thousandths of a core.
     #[serde(rename = "c", alias = "millicores", default)]
     pub millicores: u64,
@@ -25,16 +25,16 @@
     pub accelerators: u64,
 }
 
-impl RoomAmount {
+impl ResourceVector {
     /// Whether `other` fits into this amount.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
     /// assert!(room.contains(&room));
     /// ```
-    pub fn contains(&self, other: &RoomAmount) -> bool {
+    pub fn contains(&self, other: &ResourceVector) -> bool {
         other.millicores <= self.millicores
             && other.memory_mib <= self.memory_mib
             && other.accelerators <= self.accelerators
@@ -43,13 +43,13 @@
     /// The sum of both amounts.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
     /// assert_eq!(room.plus(&room).millicores, 1_000);
     /// ```
-    pub fn plus(&self, other: &RoomAmount) -> RoomAmount {
-        RoomAmount {
+    pub fn plus(&self, other: &ResourceVector) -> ResourceVector {
+        ResourceVector {
             millicores: self.millicores + other.millicores,
             memory_mib: self.memory_mib + other.memory_mib,
             accelerators: self.accelerators + other.accelerators,
@@ -59,13 +59,13 @@
     /// What is left of this amount after `other`; never below zero.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     ///
-    /// let room = RoomAmount { millicores: 500, memory_mib: 64, accelerators: 0 };
-    /// assert_eq!(room.minus(&room), RoomAmount::default());
+    /// let room = ResourceVector { millicores: 500, memory_mib: 64, accelerators: 0 };
+    /// assert_eq!(room.minus(&room), ResourceVector::default());
     /// ```
-    pub fn minus(&self, other: &RoomAmount) -> RoomAmount {
-        RoomAmount {
+    pub fn minus(&self, other: &ResourceVector) -> ResourceVector {
+        ResourceVector {
             millicores: self.millicores.saturating_sub(other.millicores),
             memory_mib: self.memory_mib.saturating_sub(other.memory_mib),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -80,7 +80,8 @@
     /// Number of tasks.
     pub count: u32,
     /// What one task takes of a worker.
-    pub room: RoomAmount,
+    #[serde(rename = "room")]
+    pub resources: ResourceVector,
     /// Rough estimate of a task's duration, in milliseconds.
     pub estimate_ms: u64,
     /// Steps whose tasks must all be done first.
@@ -117,27 +118,27 @@
     #[serde(skip_serializing_if = "is_zero_wide")]
     pub target_ms: u64,
     /// Whether the tasks' processor time is not counted against the worker's capacity.
-    #[serde(skip_serializing_if = "is_false")]
-    pub fills: bool,
+    #[serde(rename = "fills", skip_serializing_if = "is_false")]
+    pub best_effort: bool,
     /// Tasks of the step that orders of the product may keep away at the same time.
-    #[serde(skip_serializing_if = "is_zero")]
-    pub may_miss: u32,
+    #[serde(rename = "may_miss", skip_serializing_if = "is_zero")]
+    pub max_unavailable: u32,
 }
 
 impl StepSpec {
     /// What a task takes of the capacity that a worker guards.
     ///
     /// ```
-    /// use greengagearch::workflow::spec::RoomAmount;
+    /// use greengagearch::workflow::spec::ResourceVector;
     /// use greengagearch::workflow::spec::StepSpec;
     ///
-    /// let room = RoomAmount { millicores: 900, memory_mib: 10, accelerators: 0 };
-    /// let step = StepSpec { room, fills: true, ..StepSpec::default() };
-    /// assert_eq!(step.counted_room().millicores, 0);
+    /// let room = ResourceVector { millicores: 900, memory_mib: 10, accelerators: 0 };
+    /// let step = StepSpec { resources: room, best_effort: true, ..StepSpec::default() };
+    /// assert_eq!(step.reserved_resources().millicores, 0);
     /// ```
-    pub fn counted_room(&self) -> RoomAmount {
-        let millicores = if self.fills { 0 } else { self.room.millicores };
-        RoomAmount { millicores, ..self.room }
+    pub fn reserved_resources(&self) -> ResourceVector {
+        let millicores = if self.best_effort { 0 } else { self.resources.millicores };
+        ResourceVector { millicores, ..self.resources }
     }
 }
 
@@ -303,8 +304,8 @@
             }
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > u64::from(LARGEST_WORKFLOW) {
-            findings.push(format!("steps: at most {LARGEST_WORKFLOW} tasks, not {tasks}"));
+        if tasks > u64::from(MAX_WORKFLOW_TASKS) {
+            findings.push(format!("steps: at most {MAX_WORKFLOW_TASKS} tasks, not {tasks}"));
         }
         findings
     }
--- a/tests/fill_places.rs
+++ b/tests/fill_places.rs
@@ -2,9 +2,9 @@
 
 mod planning;
 
-use greengagearch::workflow::learned_effects::LearnedEffects;
-use greengagearch::workflow::learned_effects::LeastTail;
-use greengagearch::workflow::learned_effects::PairEffect;
+use greengagearch::workflow::learned_interference::LearnedInterference;
+use greengagearch::workflow::learned_interference::MinTailLatency;
+use greengagearch::workflow::learned_interference::PairInterference;
 use greengagearch::workflow::spec::StepSpec;
 
 use crate::planning::PlannedFleet;
@@ -14,14 +14,14 @@
 const TARGET_MS: u64 = 50;
 const IDLE_TAIL_MS: f64 = 10.0;
 
-fn pair(serving: &str, filling: &str, added_load: f64) -> PairEffect {
-    let (serving, filling) = (serving.to_string(), filling.to_string());
-    PairEffect { serving, filling, added_load, variance: 0.000_1 }
+fn pair(serving: &str, best_effort: &str, added_load: f64) -> PairInterference {
+    let (serving, best_effort) = (serving.to_string(), best_effort.to_string());
+    PairInterference { serving, best_effort, added_load, variance: 0.000_1 }
 }
 
-fn learned(pairs: Vec<PairEffect>) -> LearnedEffects {
-    let tail = |image: &str| LeastTail { image: image.to_string(), tail_ms: IDLE_TAIL_MS };
-    LearnedEffects { pairs, least_tails: ["s", "other"].map(tail).to_vec() }
+fn learned(pairs: Vec<PairInterference>) -> LearnedInterference {
+    let tail = |image: &str| MinTailLatency { image: image.to_string(), tail_ms: IDLE_TAIL_MS };
+    LearnedInterference { pairs, min_tails: ["s", "other"].map(tail).to_vec() }
 }
 
 fn serving(image: &str) -> StepSpec {
@@ -30,7 +30,7 @@
 }
 
 fn filling(image: &str) -> StepSpec {
-    StepSpec { fills: true, image: image.to_string(), ..step(1, 200) }
+    StepSpec { best_effort: true, image: image.to_string(), ..step(1, 200) }
 }
 
 /// Lets some rounds pass in which every task that serves shows a tail.
@@ -51,7 +51,7 @@
 #[test]
 fn a_light_fill_is_placed_beside_what_is_at_its_target_and_a_heavy_one_is_not() {
     let mut fleet = PlannedFleet::new(&["i-1"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "light", 0.01), pair("s", "heavy", 0.2)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "light", 0.01), pair("s", "heavy", 0.2)]));
     fleet.submit("serving", job(vec![serving("s")]));
     serve(&mut fleet, TARGET_MS);
     fleet.submit("heavy", job(vec![filling("heavy")]));
@@ -65,7 +65,7 @@
 #[test]
 fn a_fill_goes_where_it_is_light_rather_than_where_there_is_least_load() {
     let mut fleet = PlannedFleet::new(&["i-1", "i-2"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "f", 0.01), pair("other", "f", 0.12)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "f", 0.01), pair("other", "f", 0.12)]));
     fleet.submit("a-serving", job(vec![serving("s")]));
     fleet.submit("b-serving", job(vec![serving("other")]));
     fleet.round();
@@ -88,7 +88,7 @@
 #[test]
 fn a_worker_whose_fills_are_slowed_gets_no_more_of_them() {
     let mut fleet = PlannedFleet::new(&["i-1"]);
-    fleet.planner.adopt_learned(learned(vec![pair("s", "f", 0.02)]));
+    fleet.planner.restore_learned(learned(vec![pair("s", "f", 0.02)]));
     fleet.submit("serving", job(vec![serving("s")]));
     serve(&mut fleet, TARGET_MS);
     fleet.submit("first", job(vec![filling("f")]));
--- a/tests/planner_gathering.rs
+++ b/tests/planner_gathering.rs
@@ -10,12 +10,12 @@
 use std::time::Instant;
 
 use greengagearch::connection::node_protocol::RunnerStatus;
-use greengagearch::workflow::room_hold::RoomHolds;
+use greengagearch::workflow::reservation::Reservations;
 use greengagearch::workflow::serving_layout::ServingLayout;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
-use greengagearch::workflow::worker_board::WorkerBoard;
+use greengagearch::workflow::worker_inventory::WorkerInventory;
 
 use crate::planning::PlannedFleet;
 use crate::planning::job;
@@ -32,8 +32,14 @@
 /// More tasks that fill than any worker takes in beside what serves.
 fn bulk(count: u32) -> WorkflowSpec {
     let image = "filling".to_string();
-    let room = RoomAmount { millicores: 1_000, memory_mib: 400, accelerators: 0 };
-    job(vec![StepSpec { fills: true, checkpoints: true, image, room, ..step(count, 1_000) }])
+    let resources = ResourceVector { millicores: 1_000, memory_mib: 400, accelerators: 0 };
+    job(vec![StepSpec {
+        best_effort: true,
+        checkpoints: true,
+        image,
+        resources,
+        ..step(count, 1_000)
+    }])
 }
 
 /// Lets rounds pass in which what serves is at work, but for what `is_away` names.
@@ -123,16 +129,16 @@
 fn room_is_kept_for_one_task_and_for_a_time() {
     let now = Instant::now();
     let (mine, other) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
-    let mut holds = RoomHolds::default();
-    let room = RoomAmount { millicores: 3_000, memory_mib: 100, accelerators: 0 };
-    let free = RoomAmount { millicores: 4_000, memory_mib: 400, accelerators: 0 };
-    let (step, span) = (StepSpec { room, ..StepSpec::default() }, Duration::from_secs(1));
-    holds.keep(&mine, &step, now, span);
-    assert_eq!(holds.leave(free, &mine, now), free);
-    assert_eq!(holds.leave(free, &other, now).millicores, 1_000);
-    assert_eq!(holds.leave(free, &other, now + span), free);
-    holds.drop_for(&mine);
-    assert_eq!(holds.leave(free, &other, now), free);
+    let mut reservations = Reservations::default();
+    let resources = ResourceVector { millicores: 3_000, memory_mib: 100, accelerators: 0 };
+    let free = ResourceVector { millicores: 4_000, memory_mib: 400, accelerators: 0 };
+    let (step, span) = (StepSpec { resources, ..StepSpec::default() }, Duration::from_secs(1));
+    reservations.reserve(&mine, &step, now, span);
+    assert_eq!(reservations.available_to(free, &mine, now), free);
+    assert_eq!(reservations.available_to(free, &other, now).millicores, 1_000);
+    assert_eq!(reservations.available_to(free, &other, now + span), free);
+    reservations.release(&mine);
+    assert_eq!(reservations.available_to(free, &other, now), free);
 }
 
 #[test]
@@ -140,41 +146,41 @@
     let now = Instant::now();
     let (first, second) = ("a.0.0.0".parse().unwrap(), "a.0.0.1".parse().unwrap());
     let (step, span) = (StepSpec::default(), Duration::from_secs(1));
-    let mut holds = RoomHolds::default();
-    holds.keep(&first, &step, now, span);
-    holds.keep(&second, &step, now + span, span);
-    let mut alone = RoomHolds::default();
-    alone.keep(&second, &step, now + span, span);
-    assert_eq!(holds, alone);
+    let mut reservations = Reservations::default();
+    reservations.reserve(&first, &step, now, span);
+    reservations.reserve(&second, &step, now + span, span);
+    let mut alone = Reservations::default();
+    alone.reserve(&second, &step, now + span, span);
+    assert_eq!(reservations, alone);
 }
 
 #[test]
 fn a_task_costs_nothing_beside_its_own_job_and_most_where_nothing_else_serves() {
     let now = Instant::now();
-    let mut board = WorkerBoard::default();
+    let mut inventory = WorkerInventory::default();
     let serving = StepSpec { long_running: true, target_ms: 50, ..step(1, 100) };
     for (worker, jobs) in [("i-0", 0), ("i-1", 1), ("i-5", 5)] {
-        let entry = board.entry(worker, now);
+        let entry = inventory.entry(worker, now);
         entry.status = Some(RunnerStatus {
             instance: worker.to_string(),
             service: planning::SERVICE.to_string(),
             domain: "d".to_string(),
-            capacity: RoomAmount { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
+            capacity: ResourceVector { millicores: 4_000, memory_mib: 4_000, accelerators: 0 },
             labels: vec![],
             draining: false,
         });
-        entry.heard = Some(now);
+        entry.last_contact = Some(now);
         entry.resync = false;
         for job in 0..jobs {
             let key = (format!("s{job}.0.0.0").parse().unwrap(), 1);
-            board.assign(worker, key, &serving, now, now);
+            inventory.assign(worker, key, &serving, now, now);
         }
     }
-    let layout = ServingLayout::of(&board, now);
-    let lost = |worker: &str, job: &str| layout.workers[worker].lost_with(job);
+    let layout = ServingLayout::of(&inventory, now);
+    let lost = |worker: &str, job: &str| layout.workers[worker].loss_if_added(job);
     assert_eq!(lost("i-1", "s0"), 0.0);
     assert!(lost("i-0", "s9") > lost("i-1", "s9"));
     assert!(lost("i-1", "s9") > lost("i-5", "s9"));
-    assert_eq!(layout.workers["i-1"].gained_without("s0"), lost("i-0", "s0"));
-    assert_eq!(layout.workers["i-1"].gained_without("s9"), 0.0);
+    assert_eq!(layout.workers["i-1"].gain_if_removed("s0"), lost("i-0", "s0"));
+    assert_eq!(layout.workers["i-1"].gain_if_removed("s9"), 0.0);
 }
--- a/tests/planner_preemption.rs
+++ b/tests/planner_preemption.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::StepSpec;
 use greengagearch::workflow::spec::WorkflowSpec;
 
@@ -14,8 +14,8 @@
 
 /// A step whose tasks take half the memory of a worker.
 fn half(count: u32) -> StepSpec {
-    let room = RoomAmount { millicores: 100, memory_mib: 2_000, accelerators: 0 };
-    StepSpec { count, room, ..step(count, 100) }
+    let resources = ResourceVector { millicores: 100, memory_mib: 2_000, accelerators: 0 };
+    StepSpec { count, resources, ..step(count, 100) }
 }
 
 fn with_priority(priority: u32, steps: Vec<StepSpec>) -> WorkflowSpec {
@@ -31,7 +31,7 @@
 #[test]
 fn what_lasts_displaces_what_fills_and_no_more_than_it_needs() {
     let mut fleet = PlannedFleet::new(&["i-1", "i-2"]);
-    let fill = StepSpec { fills: true, checkpoints: true, ..half(4) };
+    let fill = StepSpec { best_effort: true, checkpoints: true, ..half(4) };
     fleet.submit("f", job(vec![fill]));
     fleet.round();
     assert_eq!(running_of(&fleet, "f"), 4);
@@ -83,7 +83,7 @@
     fleet.submit("small", with_priority(2, vec![half(2)]));
     fleet.round();
     let mut large = half(1);
-    large.room.memory_mib = 5_000;
+    large.resources.memory_mib = 5_000;
     fleet.submit("large", with_priority(0, vec![large]));
     (0..30).for_each(|_| fleet.round());
     assert!(fleet.runners["i-1"].stops.is_empty());
--- a/tests/planning_world/events.rs
+++ b/tests/planning_world/events.rs
@@ -106,7 +106,7 @@
         for (instance, orders) in parcels {
             let agent: usize = instance.split('-').next().unwrap().parse().unwrap();
             let process = &mut self.planners[planner];
-            let Some(number) = process.planner.number_order(&instance, &orders) else {
+            let Some(number) = process.planner.assign_order_number(&instance, &orders) else {
                 continue;
             };
             let epoch = process.epoch;
@@ -194,7 +194,8 @@
         process.links[agent].is_new &= report.runner.is_none();
         process.planner.set_time(now, WALL + self.now);
         let instance = report.runner.as_ref().map(|runner| runner.instance.clone());
-        let ends = report.look.as_ref().and_then(|look| look.ended.last()).map(|end| end.number);
+        let ends =
+            report.snapshot.as_ref().and_then(|look| look.ended.last()).map(|end| end.number);
         let since = report.now;
         process.planner.on_report(report, is_new);
         let mut call = SyncCall {
@@ -205,12 +206,12 @@
             wait: Duration::from_millis(400),
         };
         if let Some(instance) = instance {
-            let span = grant_span(process.proof, now);
+            let span = lease_duration(process.proof, now);
             if self.missing != Missing::LeaseWait {
-                process.planner.on_grant(&instance, surely_expired(now, span));
+                process.planner.on_grant(&instance, expired_by(now, span));
             }
             call.grant = Some(LeaseGrant { since, span });
-            call.seen = process.planner.acked(&instance);
+            call.seen = process.planner.last_acked_end(&instance);
             if self.missing == Missing::StoredBeforeSeen {
                 call.seen = ends.unwrap_or(0).max(call.seen);
             }
--- a/tests/planning_world/mod.rs
+++ b/tests/planning_world/mod.rs
@@ -22,15 +22,15 @@
 use greengagearch::connection::node_protocol::RejectReason;
 use greengagearch::connection::node_protocol::RunnerStatus;
 use greengagearch::connection::node_protocol::SyncCall;
+use greengagearch::external::runner_control::PollResponse;
 use greengagearch::external::runner_control::RunnerError;
-use greengagearch::external::runner_control::RunnerLists;
 use greengagearch::external::runner_control::RunnerTarget;
-use greengagearch::process::node::known_runner::KnownRunner;
 use greengagearch::process::node::pending_start::StartStep;
+use greengagearch::process::node::registered_runner::RegisteredRunner;
 use greengagearch::process::node::state::NodeState;
-use greengagearch::workflow::grant::grant_span;
-use greengagearch::workflow::grant::predecessors_expired;
-use greengagearch::workflow::grant::surely_expired;
+use greengagearch::workflow::grant::expired_by;
+use greengagearch::workflow::grant::lease_duration;
+use greengagearch::workflow::grant::predecessor_leases_expired_by;
 use greengagearch::workflow::planner::Planner;
 use greengagearch::workflow::planner_batch::PlanBatch;
 use greengagearch::workflow::planner_batch::PlanWrite;
@@ -38,10 +38,10 @@
 use greengagearch::workflow::progress::JobProgress;
 use greengagearch::workflow::progress::JobRecord;
 use greengagearch::workflow::progress::RunEnd;
-use greengagearch::workflow::spec::RoomAmount;
+use greengagearch::workflow::spec::ResourceVector;
 use greengagearch::workflow::spec::WorkflowSpec;
 use greengagearch::workflow::task_name::TaskName;
-use greengagearch::workflow::worker_board::RunKey;
+use greengagearch::workflow::worker_inventory::RunKey;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -255,7 +255,7 @@
 #[derive(Clone, Debug)]
 enum CallAnswer {
     Order(RunnerAnswer),
-    Lists(Option<RunnerLists>),
+    Lists(Option<PollResponse>),
     OtherLife,
     NotRunning,
 }
