--- a/src/request/deadline_queue.rs
+++ b/src/request/deadline_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of requests that wait for a slot, earliest deadline first.
+//! Queue of requests that wait for an endpoint slot, ordered by earliest deadline.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,23 +6,23 @@
 
 use crate::request::pool_endpoint::EndpointKey;
 
-/// Number of a waiting request, unique in its process.
+/// Identifier of a waiting request, unique within the process.
 pub type TicketNumber = u64;
 
-/// A request that waits for a slot.
+/// A request that waits for an endpoint slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Identifier of the request in the queue.
     pub ticket: TicketNumber,
-    /// Until when an answer is of use.
+    /// Time by which the caller needs the response.
     pub deadline: Instant,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: String,
-    /// The endpoint that a retry should avoid.
+    /// Endpoint of the previous attempt, avoided when another one is open.
     pub avoid: Option<EndpointKey>,
 }
 
-/// Waiting requests in order of their deadlines.
+/// Waiting requests in order of their deadlines, counted by caller.
 #[derive(Debug, Default)]
 pub struct DeadlineQueue {
     requests: BTreeMap<(Instant, TicketNumber), QueuedRequest>,
@@ -30,7 +30,7 @@
 }
 
 impl DeadlineQueue {
-    /// Adds a request.
+    /// Adds a request to the queue.
     ///
     /// ```
     /// use std::time::Instant;
@@ -48,7 +48,7 @@
         self.requests.insert((request.deadline, request.ticket), request);
     }
 
-    /// Takes the request with the earliest deadline.
+    /// Removes and returns the request with the earliest deadline.
     ///
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
@@ -57,28 +57,28 @@
     /// ```
     pub fn pop(&mut self) -> Option<QueuedRequest> {
         let (_, request) = self.requests.pop_first()?;
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         Some(request)
     }
 
-    /// Takes all requests whose deadline lies before `limit`.
+    /// Removes and returns all requests whose deadline is before `min_deadline`.
     ///
     /// ```
     /// use std::time::Instant;
     ///
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
     ///
-    /// assert!(DeadlineQueue::default().take_before(Instant::now()).is_empty());
+    /// assert!(DeadlineQueue::default().drain_before(Instant::now()).is_empty());
     /// ```
-    pub fn take_before(&mut self, limit: Instant) -> Vec<QueuedRequest> {
+    pub fn drain_before(&mut self, min_deadline: Instant) -> Vec<QueuedRequest> {
         let mut taken = Vec::new();
-        while self.requests.first_key_value().is_some_and(|((end, _), _)| *end < limit) {
+        while self.requests.first_key_value().is_some_and(|((end, _), _)| *end < min_deadline) {
             taken.extend(self.pop());
         }
         taken
     }
 
-    /// Removes a request whose caller has gone. Gives whether it was waiting.
+    /// Removes a request whose caller has disconnected. Returns whether it was queued.
     ///
     /// ```
     /// use std::time::Instant;
@@ -91,11 +91,11 @@
         let Some(request) = self.requests.remove(&(deadline, ticket)) else {
             return false;
         };
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         true
     }
 
-    /// Number of requests that go before one with this deadline.
+    /// Number of requests that are served before a new one with this deadline.
     ///
     /// ```
     /// use std::time::Instant;
@@ -108,8 +108,8 @@
         self.requests.range(..(deadline, TicketNumber::MAX)).count()
     }
 
-    /// Takes the last request before `deadline` of the caller that has most requests waiting, so
-    /// that another caller gets its place.
+    /// Removes and returns a request of the caller with the most waiting requests, to free its
+    /// place for another caller: the one of that caller with the latest deadline up to `deadline`.
     ///
     /// ```
     /// use std::time::Instant;
@@ -119,12 +119,12 @@
     /// assert!(DeadlineQueue::default().displace(Instant::now()).is_none());
     /// ```
     pub fn displace(&mut self, deadline: Instant) -> Option<QueuedRequest> {
-        let (heaviest, _) = self.by_caller.iter().max_by_key(|(_, count)| **count)?;
+        let (busiest, _) = self.by_caller.iter().max_by_key(|(_, count)| **count)?;
         let ahead = self.requests.range(..(deadline, TicketNumber::MAX)).rev();
-        let mut of_heaviest = ahead.filter(|(_, request)| request.caller == *heaviest);
-        let key = *of_heaviest.next()?.0;
+        let mut of_busiest = ahead.filter(|(_, request)| request.caller == *busiest);
+        let key = *of_busiest.next()?.0;
         let request = self.requests.remove(&key)?;
-        self.forget_caller(&request.caller);
+        self.decrement_caller(&request.caller);
         Some(request)
     }
 
@@ -133,9 +133,9 @@
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
     ///
-    /// assert_eq!(DeadlineQueue::default().len_of("desk"), 0);
+    /// assert_eq!(DeadlineQueue::default().caller_len("desk"), 0);
     /// ```
-    pub fn len_of(&self, caller: &str) -> usize {
+    pub fn caller_len(&self, caller: &str) -> usize {
         self.by_caller.get(caller).copied().unwrap_or(0)
     }
 
@@ -161,7 +161,7 @@
         self.requests.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     ///
     /// ```
     /// use greengagearch::request::deadline_queue::DeadlineQueue;
@@ -172,7 +172,7 @@
         self.requests.is_empty()
     }
 
-    fn forget_caller(&mut self, caller: &str) {
+    fn decrement_caller(&mut self, caller: &str) {
         if let Some(count) = self.by_caller.get_mut(caller) {
             *count -= 1;
             if *count == 0 {
@@ -193,18 +193,18 @@
     }
 
     #[test]
-    fn the_earliest_deadline_goes_first() {
+    fn requests_are_popped_by_earliest_deadline() {
         let now = Instant::now();
         let mut queue = DeadlineQueue::default();
         queue.push(request(1, now + Duration::from_secs(2)));
         queue.push(request(2, now + Duration::from_secs(1)));
         assert_eq!(queue.len_before(now + Duration::from_secs(1)), 1);
         assert_eq!(queue.pop().unwrap().ticket, 2);
-        assert_eq!(queue.len_of("desk"), 1);
+        assert_eq!(queue.caller_len("desk"), 1);
     }
 
     #[test]
-    fn a_caller_without_requests_is_forgotten() {
+    fn a_caller_without_requests_is_not_counted() {
         let now = Instant::now();
         let mut queue = DeadlineQueue::default();
         queue.push(request(1, now));
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,9 +1,10 @@
-//! What lives as long as a request or an attempt of a task.
+//! Requests and batch tasks: routing, queueing, concurrency limits, retries, idempotency, task
+//! scheduling.
 
 pub mod concurrency_limit;
 pub mod deadline_queue;
 pub mod ejection;
-pub mod id_memory;
+pub mod expiring_id_map;
 pub mod job;
 pub mod outcome;
 pub mod placement_policy;
--- a/src/request/service_pool.rs
+++ b/src/request/service_pool.rs
@@ -1,4 +1,4 @@
-//! An entry's view of one service: its endpoints, their slots, and the requests that wait.
+//! Pool of the endpoints of one service at an entry, with the requests that wait for a slot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,64 +19,67 @@
 use crate::request::pool_endpoint::EndpointStatus;
 use crate::request::pool_endpoint::PoolEndpoint;
 use crate::request::pool_endpoint::SlotResult;
-use crate::request::pool_endpoint::blend;
+use crate::request::pool_endpoint::moving_average;
 use crate::request::retry_budget::RetryBudget;
 use crate::request::routing::RouteCandidate;
 use crate::request::routing::RoutingPolicy;
 use crate::request::routing::choose;
 
-/// Assumed time of a request before any was measured.
-const FIRST_TIME_GUESS: Duration = Duration::from_millis(5);
-/// Part of the expected wait and of the expected time that is added before both are held against a
-/// deadline: an estimate that is right on the average makes half of the answers late.
+/// Mean response time that is assumed before the first response.
+const INITIAL_MEAN_TIME: Duration = Duration::from_millis(5);
+/// Factor on the expected wait in the queue before it is compared with the deadline: an estimate
+/// that is right on average would make half of the responses late.
 const WAIT_MARGIN: f64 = 1.05;
-const TIME_MARGIN: f64 = 1.25;
-/// Share of the mean time that must be left when a waiting request gets its slot.
-const FEWEST_TIME: f64 = 0.9;
-/// Requests of one caller that may always wait.
-const SMALLEST_SHARE: usize = 4;
-/// When to come back after a refusal for want of endpoints.
-const NO_ENDPOINT_HINT: Duration = Duration::from_millis(500);
+/// Factor on the mean response time before it is compared with the deadline: requests that take
+/// longer than the mean would otherwise be late.
+const RESPONSE_TIME_MARGIN: f64 = 1.25;
+/// Share of the mean response time that must remain until the deadline for a waiting request to be
+/// sent to an endpoint.
+const MIN_TIME_LEFT: f64 = 0.9;
+/// Smallest number of queued requests that counts as a caller's share, however short the queue.
+const MIN_CALLER_SHARE: usize = 4;
+/// Time after which a request may be retried that was refused because there is no usable endpoint.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request that asks for a slot gets.
+/// Decision on a request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// This endpoint, at once.
+    /// The request occupies a slot of this endpoint and is sent to it.
     Granted(EndpointKey),
-    /// A place in the queue.
+    /// The request waits in the queue.
     Queued,
-    /// Nothing.
+    /// The request is not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: NotRunReason,
-        /// When it is worth coming back.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// What became of a request that waited.
+/// Decision on a request that was waiting in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TicketResult {
-    /// The request's number.
+    /// Identifier of the request in the queue.
     pub ticket: TicketNumber,
-    /// A grant or a refusal.
+    /// Granted or refused.
     pub decision: SlotDecision,
 }
 
-/// Endpoints and queue of one service.
+/// Endpoints and request queue of one service.
 #[derive(Debug)]
 pub struct ServicePool {
-    way: RoutingPolicy,
+    policy: RoutingPolicy,
     domain: DomainName,
     endpoints: BTreeMap<EndpointKey, PoolEndpoint>,
     queue: DeadlineQueue,
     mean_seconds: f64,
-    /// Budget of retries after lost answers.
+    /// Budget of retries after lost responses.
     pub retry_budget: RetryBudget,
 }
 
 impl ServicePool {
-    /// An empty pool of an entry in `domain`.
+    /// Creates an empty pool for an entry in the failure domain `domain`.
     ///
     /// ```
     /// use greengagearch::request::routing::RoutingPolicy;
@@ -85,18 +88,18 @@
     /// let pool = ServicePool::new(RoutingPolicy::LocalFirst, "wien-a".into(), 0.1);
     /// assert_eq!(pool.queue_len(), 0);
     /// ```
-    pub fn new(way: RoutingPolicy, domain: DomainName, retry_share: f64) -> ServicePool {
+    pub fn new(policy: RoutingPolicy, domain: DomainName, retry_share: f64) -> ServicePool {
         ServicePool {
-            way,
+            policy,
             domain,
             endpoints: BTreeMap::new(),
             queue: DeadlineQueue::default(),
-            mean_seconds: FIRST_TIME_GUESS.as_secs_f64(),
+            mean_seconds: INITIAL_MEAN_TIME.as_secs_f64(),
             retry_budget: RetryBudget::new(retry_share),
         }
     }
 
-    /// Puts the rules of a newer document in force.
+    /// Applies the routing policy and the retry share of a newer document.
     ///
     /// ```
     /// # use greengagearch::request::routing::RoutingPolicy;
@@ -104,8 +107,8 @@
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
     /// pool.set_rules(RoutingPolicy::LocalFirst, 0.2);
     /// ```
-    pub fn set_rules(&mut self, way: RoutingPolicy, retry_share: f64) {
-        self.way = way;
+    pub fn set_rules(&mut self, policy: RoutingPolicy, retry_share: f64) {
+        self.policy = policy;
         self.retry_budget.set_share(retry_share);
     }
 
@@ -133,7 +136,7 @@
         self.endpoints.values().filter(|endpoint| !endpoint.is_leaving()).count()
     }
 
-    /// The endpoints as operators see them, under the name of the service.
+    /// Statuses of the endpoints for operators; `service` is the name of the service.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -153,8 +156,8 @@
         all.collect()
     }
 
-    /// Takes in an agent's report of its endpoints of this service; those it leaves out, and those
-    /// of the agent's earlier runs, are gone.
+    /// Records an agent's report on its endpoints of this service. Endpoints of the worker that the
+    /// report does not contain, or that an earlier run of the agent announced, are removed.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -162,23 +165,30 @@
     /// # use greengagearch::request::pool_endpoint::{AgentLocation, EndpointReport};
     /// # use greengagearch::request::service_pool::ServicePool;
     /// let mut pool = ServicePool::new(RoutingPolicy::Random, "wien-a".into(), 0.1);
-    /// let place = AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
+    /// let location =
+    ///     AgentLocation { worker: "w1".into(), incarnation: 1, domain: "wien-a".into() };
     /// let report = EndpointReport { endpoint: "r1".into(), service: "spots".into(), slots: 8,
     ///     in_flight: 0, leaving: false };
-    /// pool.on_report(&place, &[report], Instant::now());
+    /// pool.on_report(&location, &[report], Instant::now());
     /// assert_eq!(pool.endpoint_count(), 1);
     /// ```
-    pub fn on_report(&mut self, place: &AgentLocation, reports: &[EndpointReport], now: Instant) {
+    pub fn on_report(
+        &mut self,
+        location: &AgentLocation,
+        reports: &[EndpointReport],
+        now: Instant,
+    ) {
         self.endpoints.retain(|key, _| {
             let is_reported = reports.iter().any(|report| report.endpoint == key.endpoint);
-            key.worker != place.worker || (key.incarnation == place.incarnation && is_reported)
+            key.worker != location.worker
+                || (key.incarnation == location.incarnation && is_reported)
         });
         for report in reports {
-            self.take_report(place, report, now);
+            self.record_report(location, report, now);
         }
     }
 
-    /// Drops all endpoints of a worker whose agent is silent.
+    /// Removes all endpoints of a worker whose agent does not respond.
     ///
     /// ```
     /// # use greengagearch::request::routing::RoutingPolicy;
@@ -189,7 +199,7 @@
         self.endpoints.retain(|key, _| key.worker != worker);
     }
 
-    /// Asks for a slot for a request.
+    /// Requests a slot. Also returns the refusal of a waiting request that was displaced, if any.
     ///
     /// ```
     /// # use std::time::{Duration, Instant};
@@ -222,7 +232,7 @@
         self.enqueue(request, slots, now)
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a request and records the result of the request.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -235,7 +245,7 @@
     /// ```
     pub fn release(&mut self, key: &EndpointKey, result: SlotResult, now: Instant) {
         if let SlotResult::Success(time) = result {
-            self.mean_seconds = blend(self.mean_seconds, time);
+            self.mean_seconds = moving_average(self.mean_seconds, time);
         }
         let ejected = self.endpoints.values().filter(|one| one.is_ejected()).count();
         let may_eject = (ejected + 1) * 2 <= self.endpoints.len();
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Takes in what an answer says of its endpoint.
+    /// Records the load that an agent reported for an endpoint with a response.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -262,7 +272,8 @@
         }
     }
 
-    /// Gives free slots to waiting requests and refuses those whose time is up.
+    /// Grants free slots to waiting requests and refuses those that can no longer meet their
+    /// deadline.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -272,8 +283,8 @@
     /// assert!(pool.poll(Instant::now(), &mut rand::rng()).is_empty());
     /// ```
     pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<TicketResult> {
-        let useless_before = now + self.mean_time().mul_f64(FEWEST_TIME);
-        let expired = self.queue.take_before(useless_before).into_iter();
+        let min_deadline = now + self.mean_time().mul_f64(MIN_TIME_LEFT);
+        let expired = self.queue.drain_before(min_deadline).into_iter();
         let mut results: Vec<TicketResult> =
             expired.map(|request| self.refuse_waiting(request.ticket, now)).collect();
         while !self.queue.is_empty() {
@@ -288,7 +299,7 @@
         results
     }
 
-    /// Drops a waiting request whose caller has gone. Gives whether it was waiting.
+    /// Removes a waiting request whose caller has disconnected. Returns whether it was waiting.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -301,7 +312,7 @@
         self.queue.remove(deadline, ticket)
     }
 
-    /// Mean time of a request at an endpoint.
+    /// Mean response time of the endpoints.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -314,13 +325,13 @@
         Duration::from_secs_f64(self.mean_seconds)
     }
 
-    fn take_report(&mut self, place: &AgentLocation, report: &EndpointReport, now: Instant) {
+    fn record_report(&mut self, location: &AgentLocation, report: &EndpointReport, now: Instant) {
         let key = EndpointKey {
-            worker: place.worker.clone(),
+            worker: location.worker.clone(),
             endpoint: report.endpoint.clone(),
-            incarnation: place.incarnation,
+            incarnation: location.incarnation,
         };
-        let (domain, mean_seconds) = (&place.domain, self.mean_seconds);
+        let (domain, mean_seconds) = (&location.domain, self.mean_seconds);
         let new = || PoolEndpoint::new(domain.clone(), mean_seconds, now);
         self.endpoints.entry(key).or_insert_with(new).on_report(report, now);
     }
@@ -335,13 +346,13 @@
         let ahead = self.queue.len_before(request.deadline);
         let wait = Duration::from_secs_f64(per_request * (ahead + 1) as f64);
         let left = request.deadline.saturating_duration_since(now);
-        let needed = wait.mul_f64(WAIT_MARGIN) + self.mean_time().mul_f64(TIME_MARGIN);
-        if needed <= left {
+        let required = wait.mul_f64(WAIT_MARGIN) + self.mean_time().mul_f64(RESPONSE_TIME_MARGIN);
+        if required <= left {
             self.queue.push(request);
             return (SlotDecision::Queued, None);
         }
-        let longest = (left.as_secs_f64() / per_request) as usize;
-        match self.displace_for(&request, longest) {
+        let max_len = (left.as_secs_f64() / per_request) as usize;
+        match self.displace_for(&request, max_len) {
             Some(displaced) => {
                 self.queue.push(request);
                 let decision = refused(NotRunReason::CallerShare, wait);
@@ -352,12 +363,13 @@
         }
     }
 
-    /// Makes room for a caller that has less than its share of a full queue.
-    fn displace_for(&mut self, request: &QueuedRequest, longest: usize) -> Option<QueuedRequest> {
-        let own = self.queue.len_of(&request.caller);
+    /// Displaces a request of another caller if the caller of `request` has less than its share of
+    /// a queue of at most `max_len` requests.
+    fn displace_for(&mut self, request: &QueuedRequest, max_len: usize) -> Option<QueuedRequest> {
+        let own = self.queue.caller_len(&request.caller);
         let others = self.queue.caller_count() - usize::from(own > 0);
-        let share = (longest / (others + 1)).max(SMALLEST_SHARE);
-        if others == 0 || own >= share || longest == 0 {
+        let share = (max_len / (others + 1)).max(MIN_CALLER_SHARE);
+        if others == 0 || own >= share || max_len == 0 {
             return None;
         }
         let displaced = self.queue.displace(request.deadline)?;
@@ -384,7 +396,7 @@
         } else {
             NotRunReason::NoEndpoint
         };
-        refused(reason, NO_ENDPOINT_HINT)
+        refused(reason, NO_ENDPOINT_RETRY_AFTER)
     }
 
     fn usable_slots(&self, now: Instant) -> u32 {
@@ -401,7 +413,7 @@
         if candidates.is_empty() && avoid.is_some() {
             candidates = self.candidates(None, now);
         }
-        let index = choose(self.way, &candidates, rng)?;
+        let index = choose(self.policy, &candidates, rng)?;
         let (key, endpoint) = self.endpoints.iter_mut().nth(index)?;
         endpoint.on_sent();
         Some(key.clone())
