--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -102,8 +102,8 @@
 /// use std::time::Instant;
 ///
 /// use greengagearch::process::suspicion::WorkerSuspicion;
-/// use greengagearch::workflow::pair_interference::AdviceCache;
-/// use greengagearch::workflow::interference::PairInterferenceModel;
+/// use greengagearch::workflow::advice_cache::AdviceCache;
+/// use greengagearch::workflow::pair_interference::PairInterferenceModel;
 /// use greengagearch::workflow::placement::PlacementRequest;
 /// use greengagearch::workflow::placement::PlacementView;
 /// use greengagearch::workflow::placement::RiskLimit;
