--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -141,10 +141,11 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// let mut board = WorkerBoard::default();
-    /// PairInterferenceModel::default().learn(board.entry("i-1", Instant::now()), Instant::now());
+    /// let mut inventory = WorkerInventory::default();
+    /// let now = Instant::now();
+    /// PairInterferenceModel::default().learn(inventory.entry("i-1", now), now);
     /// ```
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
@@ -221,14 +222,14 @@
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
     /// use greengagearch::workflow::spec::StepSpec;
     /// use greengagearch::workflow::task_name::TaskName;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let now = Instant::now();
-    /// let mut board = WorkerBoard::default();
+    /// let mut inventory = WorkerInventory::default();
     /// let step = StepSpec { target_ms: 50, ..StepSpec::default() };
     /// let key: (TaskName, u32) = ("a.0.0.0".parse().unwrap(), 1);
-    /// board.assign("i-1", key.clone(), &step, now, now);
-    /// let run = &board.get("i-1").unwrap().assigned[&key];
+    /// inventory.assign("i-1", key.clone(), &step, now, now);
+    /// let run = &inventory.get("i-1").unwrap().assigned[&key];
     /// assert_eq!(PairInterferenceModel::default().idle_tail(run), 10.0);
     /// ```
     pub fn idle_tail(&self, run: &AssignedRun) -> f64 {
@@ -255,10 +256,11 @@
     /// use std::time::Instant;
     ///
     /// use greengagearch::workflow::pair_interference::PairInterferenceModel;
-    /// use greengagearch::workflow::worker_board::WorkerBoard;
+    /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
-    /// let mut board = WorkerBoard::default();
-    /// let risk = PairInterferenceModel::default().risk(board.entry("i-1", Instant::now()), "x");
+    /// let mut inventory = WorkerInventory::default();
+    /// let worker = inventory.entry("i-1", Instant::now());
+    /// let risk = PairInterferenceModel::default().risk(worker, "x");
     /// assert_eq!(risk.load_ratio, 0.0);
     /// ```
     pub fn risk(&self, worker: &WorkerEntry, image: &str) -> PlacementRisk {
