--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -144,7 +144,8 @@
     /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let mut inventory = WorkerInventory::default();
-    /// PairInterferenceModel::default().learn(inventory.entry("i-1", Instant::now()), Instant::now());
+    /// let now = Instant::now();
+    /// PairInterferenceModel::default().learn(inventory.entry("i-1", now), now);
     /// ```
     pub fn learn(&mut self, worker: &WorkerEntry, now: Instant) {
         let mut tails: BTreeMap<(JobId, u32), Vec<(f64, &AssignedRun)>> = BTreeMap::new();
@@ -258,7 +259,8 @@
     /// use greengagearch::workflow::worker_inventory::WorkerInventory;
     ///
     /// let mut inventory = WorkerInventory::default();
-    /// let risk = PairInterferenceModel::default().risk(inventory.entry("i-1", Instant::now()), "x");
+    /// let worker = inventory.entry("i-1", Instant::now());
+    /// let risk = PairInterferenceModel::default().risk(worker, "x");
     /// assert_eq!(risk.load_ratio, 0.0);
     /// ```
     pub fn risk(&self, worker: &WorkerEntry, image: &str) -> PlacementRisk {
