--- a/src/connection/protocol.rs
+++ b/src/connection/protocol.rs
@@ -33,7 +33,7 @@
 
 /// A heartbeat of an agent, which asks for a grant too.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AgentBeat {
+pub struct AgentHeartbeat {
     /// The worker.
     pub worker: WorkerId,
     /// The run of its agent.
@@ -76,7 +76,7 @@
 
 /// A heartbeat of an entry to another, which asks for a grant too.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryBeat {
+pub struct EntryHeartbeat {
     /// The sender.
     pub member: EntryMember,
     /// Generation of the cluster map that the sender knows.
@@ -87,7 +87,7 @@
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// The answering entry's incarnation.
     pub incarnation: IncarnationId,
     /// Whether it promises to take the sender's leases over not before the grant has passed.
@@ -252,9 +252,9 @@
 #[tarpc::service]
 pub trait EntryRpc {
     /// Takes in an agent's heartbeat.
-    async fn agent_beat(beat: AgentBeat) -> BeatReply;
+    async fn agent_beat(beat: AgentHeartbeat) -> HeartbeatReply;
     /// Takes in another entry's heartbeat.
-    async fn entry_beat(beat: EntryBeat) -> BeatReply;
+    async fn entry_beat(beat: EntryHeartbeat) -> HeartbeatReply;
     /// The incarnation of the process at this address.
     async fn identity() -> IncarnationId;
     /// Adds an entry to the cluster map.
--- a/src/process/agent/heartbeat.rs
+++ b/src/process/agent/heartbeat.rs
@@ -5,7 +5,7 @@
 use tokio::time::timeout;
 
 use crate::connection::cluster_map::EntryMember;
-use crate::connection::protocol::AgentBeat;
+use crate::connection::protocol::AgentHeartbeat;
 use crate::connection::rpc_client::call_within;
 use crate::process::agent::shared::AgentShared;
 use crate::process::clock;
@@ -63,14 +63,14 @@
     shared.entry_connections.drop_client(&address);
 }
 
-fn beat_of(shared: &AgentShared, samples: Vec<InterferenceSample>) -> AgentBeat {
+fn beat_of(shared: &AgentShared, samples: Vec<InterferenceSample>) -> AgentHeartbeat {
     // Before any state is read, so that a higher number never carries older state.
     let number = shared.next_beat_number();
     let mut endpoints = shared.endpoints().reports(clock::now());
     if shared.is_draining() {
         endpoints.iter_mut().for_each(|endpoint| endpoint.leaving = true);
     }
-    AgentBeat {
+    AgentHeartbeat {
         worker: shared.settings.worker.clone(),
         incarnation: shared.incarnation,
         number,
--- a/src/process/entry/membership.rs
+++ b/src/process/entry/membership.rs
@@ -17,7 +17,7 @@
 use crate::connection::cluster_map::EntryMember;
 use crate::connection::map_change::ChangeResult;
 use crate::connection::map_change::MapChange;
-use crate::connection::protocol::EntryBeat;
+use crate::connection::protocol::EntryHeartbeat;
 use crate::connection::protocol::JoinReply;
 use crate::connection::rpc_client::call_within;
 use crate::external::table::TableError;
@@ -248,9 +248,9 @@
     });
 }
 
-fn beat_of(shared: &EntryShared) -> EntryBeat {
+fn beat_of(shared: &EntryShared) -> EntryHeartbeat {
     let map_generation = shared.view().map().generation;
-    EntryBeat {
+    EntryHeartbeat {
         member: shared.member.clone(),
         map_generation,
         generation: shared.with_catalog(DocumentCatalog::generation),
@@ -287,7 +287,7 @@
         }
     }
 
-    async fn beat_member(&self, member: &EntryMember, beat: EntryBeat) {
+    async fn beat_member(&self, member: &EntryMember, beat: EntryHeartbeat) {
         let sent = clock::now();
         let limit = self.view().removal_limit();
         let Ok(client) = self.entry_connections.client(&member.address).await else {
--- a/src/process/entry/rpc.rs
+++ b/src/process/entry/rpc.rs
@@ -11,11 +11,11 @@
 
 use crate::connection::cluster_map::ClusterMap;
 use crate::connection::cluster_map::EntryMember;
-use crate::connection::protocol::AgentBeat;
-use crate::connection::protocol::BeatReply;
+use crate::connection::protocol::AgentHeartbeat;
 use crate::connection::protocol::ClaimReply;
-use crate::connection::protocol::EntryBeat;
+use crate::connection::protocol::EntryHeartbeat;
 use crate::connection::protocol::EntryRpc;
+use crate::connection::protocol::HeartbeatReply;
 use crate::connection::protocol::JoinReply;
 use crate::connection::protocol::ServiceRequest;
 use crate::connection::protocol::TeamQueue;
@@ -80,14 +80,14 @@
         request: &GrantRequest<'_>,
         map_generation: u64,
         generation: GenerationNumber,
-    ) -> BeatReply {
+    ) -> HeartbeatReply {
         let own_generation = self.shared.with_catalog(DocumentCatalog::generation);
         if generation > own_generation {
             self.shared.catalog_news.notify_one();
         }
         let view = self.shared.view();
         let is_behind = map_generation < view.map().generation;
-        BeatReply {
+        HeartbeatReply {
             incarnation: self.shared.member.incarnation,
             granted: view.may_grant(request.lease, request.epoch, request.generation),
             generation: own_generation,
@@ -98,7 +98,7 @@
 
     /// Records what a heartbeat tells of its agent; gives whether it is the newest of the
     /// agent's newest run.
-    fn take_news(&self, beat: &AgentBeat, place: &AgentLocation) -> bool {
+    fn take_news(&self, beat: &AgentHeartbeat, place: &AgentLocation) -> bool {
         let mut news = AgentNews {
             place: place.clone(),
             number: beat.number,
@@ -128,7 +128,7 @@
 }
 
 impl EntryRpc for EntryServer {
-    async fn agent_beat(self, _: Context, beat: AgentBeat) -> BeatReply {
+    async fn agent_beat(self, _: Context, beat: AgentHeartbeat) -> HeartbeatReply {
         let place = AgentLocation {
             worker: beat.worker.clone(),
             incarnation: beat.incarnation,
@@ -145,7 +145,7 @@
         reply
     }
 
-    async fn entry_beat(self, _: Context, beat: EntryBeat) -> BeatReply {
+    async fn entry_beat(self, _: Context, beat: EntryHeartbeat) -> HeartbeatReply {
         let now = clock::now();
         self.shared.on_peer_beat(&beat, now);
         self.shared.view().on_heard(beat.member.incarnation, now);
--- a/src/process/entry/shared.rs
+++ b/src/process/entry/shared.rs
@@ -19,7 +19,7 @@
 use crate::connection::cluster_map::EntryMember;
 use crate::connection::cluster_view::ClusterView;
 use crate::connection::protocol::AgentRpcClient;
-use crate::connection::protocol::EntryBeat;
+use crate::connection::protocol::EntryHeartbeat;
 use crate::connection::protocol::EntryRpcClient;
 use crate::connection::protocol::KindSlowdown;
 use crate::connection::protocol::ProcessReport;
@@ -156,7 +156,7 @@
 
     /// Takes in what another entry's heartbeat tells of it; heartbeats may overtake each other, and
     /// generations only rise.
-    pub fn on_peer_beat(&self, beat: &EntryBeat, now: Instant) {
+    pub fn on_peer_beat(&self, beat: &EntryHeartbeat, now: Instant) {
         let mut peers = self.peers();
         let known = peers.get(&beat.member.incarnation).map_or(0, |known| known.generation);
         let generation = known.max(beat.generation);
--- a/tests/lease_search.rs
+++ b/tests/lease_search.rs
@@ -39,11 +39,11 @@
     RowRead { entry: usize, run: u64, sent: Instant },
     RowReply { entry: usize, run: u64, sent: Instant, map: ClusterMap, version: u64 },
     Beat { from: usize, run: u64, to: usize, generation: u64, sent: Instant },
-    BeatReply { to: usize, run: u64, reply: Reply },
+    HeartbeatReply { to: usize, run: u64, reply: Reply },
     Join { from: usize, to: usize },
     Write { entry: usize, run: u64, change: MapChange },
     WriteReply { entry: usize, run: u64, change: MapChange, result: ChangeResult },
-    AgentBeat { agent: usize, to: usize, known: u64, relied: u64, epoch: u64, sent: Instant },
+    AgentHeartbeat { agent: usize, to: usize, known: u64, relied: u64, epoch: u64, sent: Instant },
     AgentReply { agent: usize, reply: Reply },
     LeaseRead { agent: usize, sent: Instant, map: ClusterMap },
     LeaseReply { agent: usize, epoch: u64, sent: Instant, map: ClusterMap },
@@ -202,9 +202,9 @@
             | Event::RowReply { entry, .. }
             | Event::WriteReply { entry, .. }
             | Event::Beat { to: entry, .. }
-            | Event::BeatReply { to: entry, .. }
+            | Event::HeartbeatReply { to: entry, .. }
             | Event::Join { to: entry, .. }
-            | Event::AgentBeat { to: entry, .. }
+            | Event::AgentHeartbeat { to: entry, .. }
             | Event::Claim { to: entry, .. } => Some(self.entries[*entry].paused_until),
             Event::AgentTick(agent)
             | Event::AgentReply { agent, .. }
@@ -262,9 +262,9 @@
                 let now = self.entry_now(to);
                 self.entries[to].view.on_heard(run, now);
                 let reply = self.reply(to, &format!("entry/{run}"), 0, generation, sent);
-                self.send(Event::BeatReply { to: from, run, reply });
+                self.send(Event::HeartbeatReply { to: from, run, reply });
             }
-            Event::BeatReply { to, run, reply } => {
+            Event::HeartbeatReply { to, run, reply } => {
                 let now = self.entry_now(to);
                 let entry = &mut self.entries[to];
                 if entry.run == run {
@@ -298,7 +298,7 @@
                     self.entries[entry].view.end_change(change, result, now);
                 }
             }
-            Event::AgentBeat { agent, to, known, relied, epoch, sent } => {
+            Event::AgentHeartbeat { agent, to, known, relied, epoch, sent } => {
                 let mut reply = self.reply(to, LEASE, epoch, relied, sent);
                 reply.map = reply.map.filter(|map| map.generation > known);
                 self.send(Event::AgentReply { agent, reply });
@@ -467,7 +467,7 @@
         let holder = self.agents[index].holder.as_ref();
         let relied = holder.map_or(0, |(holder, _)| holder.map_generation());
         for to in 0..ENTRIES {
-            self.send(Event::AgentBeat { agent: index, to, known, relied, epoch, sent: now });
+            self.send(Event::AgentHeartbeat { agent: index, to, known, relied, epoch, sent: now });
         }
     }
 
