--- a/src/connection/protocol.rs
+++ b/src/connection/protocol.rs
@@ -211,7 +211,7 @@
 
 /// A question about an id that an earlier owner may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SettleQuestion {
+pub struct SettleQuery {
     /// The id.
     pub id: RequestId,
     /// Epoch at which the asking entry owns the id's partition.
@@ -283,7 +283,7 @@
     /// Runs a request on an endpoint.
     async fn dispatch(order: DispatchOrder) -> DispatchReply;
     /// Tells what became of an id, and refuses it from now on when it never came.
-    async fn settle(question: SettleQuestion) -> SettleAnswer;
+    async fn settle(question: SettleQuery) -> SettleAnswer;
     /// Says that the worker's row has changed.
     async fn row_changed();
     /// Says that documents of this generation are in force at the caller.
--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -10,7 +10,7 @@
 use crate::connection::announcement::SlotUse;
 use crate::connection::protocol::DispatchOrder;
 use crate::connection::protocol::DispatchReply;
-use crate::connection::protocol::SettleQuestion;
+use crate::connection::protocol::SettleQuery;
 use crate::ids::LeaseEpoch;
 use crate::ids::RequestId;
 use crate::process::agent::shared::AgentShared;
@@ -189,7 +189,7 @@
 }
 
 /// Answers a new owner's question about an id.
-pub fn settle(shared: &AgentShared, question: &SettleQuestion) -> SettleAnswer {
+pub fn settle(shared: &AgentShared, question: &SettleQuery) -> SettleAnswer {
     let Some(time) = id_time(&question.id) else {
         return SettleAnswer::CannotTell;
     };
--- a/src/process/agent/rpc.rs
+++ b/src/process/agent/rpc.rs
@@ -11,7 +11,7 @@
 use crate::connection::protocol::AgentRpc;
 use crate::connection::protocol::DispatchOrder;
 use crate::connection::protocol::DispatchReply;
-use crate::connection::protocol::SettleQuestion;
+use crate::connection::protocol::SettleQuery;
 use crate::connection::rpc_client::framed;
 use crate::ids::GenerationNumber;
 use crate::process::agent::dispatcher;
@@ -44,7 +44,7 @@
         dispatcher::dispatch(self.shared, order).await
     }
 
-    async fn settle(self, _: Context, question: SettleQuestion) -> SettleAnswer {
+    async fn settle(self, _: Context, question: SettleQuery) -> SettleAnswer {
         dispatcher::settle(&self.shared, &question)
     }
 
--- a/src/process/entry/settlement.rs
+++ b/src/process/entry/settlement.rs
@@ -12,7 +12,7 @@
 
 use crate::connection::cluster_view::ActingRight;
 use crate::connection::protocol::ServiceRequest;
-use crate::connection::protocol::SettleQuestion;
+use crate::connection::protocol::SettleQuery;
 use crate::connection::rpc_client::call_within;
 use crate::connection::worker_row::WorkerRow;
 use crate::connection::worker_row::journal_key;
@@ -43,7 +43,7 @@
 ) -> Option<RequestOutcome> {
     let started = clock::now();
     let window = id_window(document.requests.largest_deadline);
-    let question = SettleQuestion { id: request.id, epoch: right.epoch, window };
+    let question = SettleQuery { id: request.id, epoch: right.epoch, window };
     let Ok(rows) = shared.worker_rows_since(right.since).await else {
         return Some(RequestOutcome::Unknown(UnknownReason::Unsettled));
     };
@@ -106,7 +106,7 @@
 async fn ask_worker(
     shared: &EntryShared,
     row: &WorkerRow,
-    question: SettleQuestion,
+    question: SettleQuery,
 ) -> Option<SettleAnswer> {
     // The newest address: the row's may be that of an earlier run.
     let address = shared.agents().get(&row.worker).map(|agent| agent.address.clone());
@@ -129,7 +129,7 @@
 async fn ask_agent(
     shared: &EntryShared,
     address: &str,
-    question: SettleQuestion,
+    question: SettleQuery,
 ) -> Option<SettleAnswer> {
     let client = shared.agent_connections.client(address).await.ok()?;
     client.settle(call_within(SETTLE_CALL), question).await.ok()
@@ -140,7 +140,7 @@
 async fn ask_handover(
     shared: &EntryShared,
     row: &WorkerRow,
-    question: &SettleQuestion,
+    question: &SettleQuery,
 ) -> Option<SettleAnswer> {
     let current = shared.table.get(&journal_key(&row.worker)).await.ok()??;
     let handover: JournalHandover = current.decode().ok()?;
