--- a/src/connection/cluster_view.rs
+++ b/src/connection/cluster_view.rs
@@ -155,7 +155,7 @@
     }
 
     /// Takes in a sign of life of another entry.
-    pub fn on_heard(&mut self, incarnation: IncarnationId, now: Instant) {
+    pub fn on_contact(&mut self, incarnation: IncarnationId, now: Instant) {
         if let Some(heard) = self.heard.get_mut(&incarnation) {
             *heard = now;
         }
@@ -357,7 +357,7 @@
         view.on_row(map, 1, now, now);
         let later = now + Duration::from_secs(60);
         assert!(!view.has_prospect(later));
-        view.on_heard(2, later);
+        view.on_contact(2, later);
         assert!(view.has_prospect(later));
     }
 
--- a/src/connection/protocol.rs
+++ b/src/connection/protocol.rs
@@ -268,7 +268,7 @@
     /// The documents that changed after a generation, under the generation in force.
     async fn documents(since: GenerationNumber) -> DocumentSet;
     /// How long ago the entry heard of a worker's agent; nothing when it never did.
-    async fn heard_of(worker: WorkerId) -> Option<Duration>;
+    async fn time_since_contact(worker: WorkerId) -> Option<Duration>;
     /// The queues of the teams whose partitions this entry acts for.
     async fn team_queues() -> Vec<TeamQueue>;
     /// Says that a job was submitted or cancelled.
--- a/src/process/entry/membership.rs
+++ b/src/process/entry/membership.rs
@@ -302,7 +302,7 @@
             self.catalog_news.notify_one();
         }
         let mut view = self.view();
-        view.on_heard(reply.incarnation, now);
+        view.on_contact(reply.incarnation, now);
         if let Some(map) = reply.map {
             view.adopt(map, now);
         }
--- a/src/process/entry/rpc.rs
+++ b/src/process/entry/rpc.rs
@@ -148,7 +148,7 @@
     async fn entry_beat(self, _: Context, beat: EntryHeartbeat) -> HeartbeatReply {
         let now = clock::now();
         self.shared.on_peer_beat(&beat, now);
-        self.shared.view().on_heard(beat.member.incarnation, now);
+        self.shared.view().on_contact(beat.member.incarnation, now);
         let lease = entry_lease(&beat.member);
         let request = GrantRequest { lease: &lease, epoch: 0, generation: beat.map_generation };
         self.reply(&request, beat.map_generation, beat.generation)
@@ -183,7 +183,7 @@
         self.shared.with_catalog(|catalog| catalog.changed_since(since))
     }
 
-    async fn heard_of(self, _: Context, worker: WorkerId) -> Option<Duration> {
+    async fn time_since_contact(self, _: Context, worker: WorkerId) -> Option<Duration> {
         self.shared.agents().get(&worker).map(|agent| clock::elapsed(agent.heard))
     }
 
--- a/src/process/entry/worker_desk.rs
+++ b/src/process/entry/worker_desk.rs
@@ -235,7 +235,7 @@
         let others = members.iter().filter(|one| one.incarnation != self.member.incarnation);
         let asked = others.map(|member| async {
             let client = self.entry_connections.client(&member.address).await.ok()?;
-            client.heard_of(call_within(PEER_CALL), worker.to_string()).await.ok()?
+            client.time_since_contact(call_within(PEER_CALL), worker.to_string()).await.ok()?
         });
         let heard = join_all(asked).await;
         heard.into_iter().flatten().any(|ago| ago <= limit)
--- a/tests/lease_search.rs
+++ b/tests/lease_search.rs
@@ -260,7 +260,7 @@
             }
             Event::Beat { from, run, to, generation, sent } => {
                 let now = self.entry_now(to);
-                self.entries[to].view.on_heard(run, now);
+                self.entries[to].view.on_contact(run, now);
                 let reply = self.reply(to, &format!("entry/{run}"), 0, generation, sent);
                 self.send(Event::HeartbeatReply { to: from, run, reply });
             }
@@ -268,7 +268,7 @@
                 let now = self.entry_now(to);
                 let entry = &mut self.entries[to];
                 if entry.run == run {
-                    entry.view.on_heard(reply.from_run, now);
+                    entry.view.on_contact(reply.from_run, now);
                     if let Some(map) = reply.map {
                         entry.view.adopt(map, now);
                     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -163,7 +163,7 @@
         let to_run = self.runs[to];
         let from_run = self.runs.get(from).copied();
         let member = self.view(to)?;
-        from_run.into_iter().for_each(|run| member.on_heard(run, now));
+        from_run.into_iter().for_each(|run| member.on_contact(run, now));
         let granted = member.may_grant(&lease, epoch, relied);
         let map = member.map().clone();
         if is_agent {
@@ -176,7 +176,7 @@
             }
         } else {
             let view = self.view(from)?;
-            view.on_heard(to_run, now);
+            view.on_contact(to_run, now);
             view.adopt(map, now);
             if granted {
                 view.on_grant(to_run, now);
