--- a/src/connection/cluster_view.rs
+++ b/src/connection/cluster_view.rs
@@ -198,7 +198,7 @@
     }
 
     /// Whether this entry may take the leases of workers over at `now`.
-    pub fn may_take_workers(&self, now: Instant) -> bool {
+    pub fn may_take_over_workers(&self, now: Instant) -> bool {
         let from = self.takes_workers_from.max(self.unaided_until);
         self.is_member() && !self.stopped && now >= from
     }
--- a/src/process/entry/worker_desk.rs
+++ b/src/process/entry/worker_desk.rs
@@ -106,7 +106,7 @@
         let limit = timing.agent_beat() * BEATS_TO_RECOVER;
         // An entry that has just started has heard of nobody yet.
         let is_early = clock::elapsed(self.started) < limit || now < self.next_poll_number;
-        if is_early || !self.shared.view().may_take_workers(now) {
+        if is_early || !self.shared.view().may_take_over_workers(now) {
             return Ok(BTreeSet::new());
         }
         self.next_poll_number = now + timing.agent_beat() / 2;
@@ -206,7 +206,7 @@
     ) -> Result<RowVersion, TableError> {
         let cluster_version = {
             let mut view = self.view();
-            if !view.may_take_workers(clock::now()) {
+            if !view.may_take_over_workers(clock::now()) {
                 return Err(TableError::Unavailable);
             }
             view.supersede(key, row.epoch);
--- a/tests/lease_search.rs
+++ b/tests/lease_search.rs
@@ -476,7 +476,7 @@
         let epoch = self.lease_epoch + 1;
         let lease_version = self.lease_version;
         let entry = &mut self.entries[to];
-        if !entry.view.may_take_workers(now) || !entry.reaches_table {
+        if !entry.view.may_take_over_workers(now) || !entry.reaches_table {
             return;
         }
         entry.view.supersede(LEASE, epoch);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -188,7 +188,7 @@
     fn claim(&mut self, agent: &str, through: &str, late: bool) -> Result<String, Box<dyn Error>> {
         let (now, version, epoch) = (self.now, self.version, self.epoch + 1);
         let view = self.view(through)?;
-        if !view.may_take_workers(now) {
+        if !view.may_take_over_workers(now) {
             return Ok("later\n".to_string());
         }
         view.supersede(LEASE, epoch);
