--- a/src/connection/cluster_view.rs
+++ b/src/connection/cluster_view.rs
@@ -283,15 +283,15 @@
     /// Whether an owner that does not act at `now` may soon act again: a change of owners may be
     /// under way while the row can be read, and a lease that lapsed for want of a grant may be granted
     /// anew while all members are heard of.
-    pub fn has_prospect(&self, now: Instant) -> bool {
+    pub fn may_regain_lease(&self, now: Instant) -> bool {
         let limit = self.removal_limit();
         let others = self.heard.iter().filter(|(run, _)| **run != self.own.incarnation);
         let mut heard = others.map(|(_, heard)| now.saturating_duration_since(*heard));
-        self.reads_row(now) || heard.all(|ago| ago <= limit)
+        self.has_recent_read(now) || heard.all(|ago| ago <= limit)
     }
 
     /// Whether the row was read so lately that the table service counts as answering.
-    pub fn reads_row(&self, now: Instant) -> bool {
+    pub fn has_recent_read(&self, now: Instant) -> bool {
         let freshness = self.map.timing.partition_lease().freshness;
         self.row_read.is_some_and(|read| now.saturating_duration_since(read) <= freshness)
     }
@@ -356,9 +356,9 @@
         let map = ClusterMap::default().with_member(member(1)).with_member(member(2));
         view.on_row(map, 1, now, now);
         let later = now + Duration::from_secs(60);
-        assert!(!view.has_prospect(later));
+        assert!(!view.may_regain_lease(later));
         view.on_contact(2, later);
-        assert!(view.has_prospect(later));
+        assert!(view.may_regain_lease(later));
     }
 
     #[test]
--- a/src/process/entry/broker.rs
+++ b/src/process/entry/broker.rs
@@ -79,7 +79,7 @@
     let view = shared.view();
     let has_time = deadline.saturating_duration_since(now) > 2 * OWNER_PAUSE;
     let is_due = now < started + view.takeover_limit();
-    has_time && is_due && view.has_prospect(now) && !shared.is_draining()
+    has_time && is_due && view.may_regain_lease(now) && !shared.is_draining()
 }
 
 /// Makes an id that falls into a partition this entry acts for.
--- a/src/process/entry/caller_http.rs
+++ b/src/process/entry/caller_http.rs
@@ -201,7 +201,7 @@
     let is_answered = matches!(ended.outcome, RequestOutcome::Answered(_));
     let event = EndedRequest {
         // Of no account for answers, and the view is shared by all requests.
-        store_silent: !is_answered && !shared.view().reads_row(clock::now()),
+        store_silent: !is_answered && !shared.view().has_recent_read(clock::now()),
         outcome: &ended.outcome,
         time,
         queued: ended.trace.queued,
