--- a/src/connection/cluster_map.rs
+++ b/src/connection/cluster_map.rs
@@ -176,9 +176,9 @@
     /// use greengagearch::connection::cluster_map::EntryMember;
     ///
     /// let own = EntryMember { id: "a".into(), incarnation: 1, address: "127.0.0.1:1".into() };
-    /// assert_eq!(ClusterMap::default().with_only(own).unaided_generation, 1);
+    /// assert_eq!(ClusterMap::default().with_sole_member(own).unaided_generation, 1);
     /// ```
-    pub fn with_only(&self, member: EntryMember) -> ClusterMap {
+    pub fn with_sole_member(&self, member: EntryMember) -> ClusterMap {
         let mut map = self.with_members(vec![member]);
         map.unaided_generation = map.generation;
         map
--- a/src/process/entry/membership.rs
+++ b/src/process/entry/membership.rs
@@ -113,7 +113,8 @@
         }
         let alone_since = *self.alone_since.get_or_insert_with(clock::now);
         if clock::elapsed(alone_since) >= self.shared.beat_interval() * BEATS_ALONE {
-            self.write(MapChange { version, map: map.with_only(own) }, "joined_unaided").await;
+            self.write(MapChange { version, map: map.with_sole_member(own) }, "joined_unaided")
+                .await;
         }
     }
 
--- a/tests/lease_search.rs
+++ b/tests/lease_search.rs
@@ -401,7 +401,7 @@
         }
         // Whether anybody answers makes no difference to what must hold.
         if self.rng.random_range(0..40) == 0 {
-            self.write(index, MapChange { version, map: map.with_only(own) });
+            self.write(index, MapChange { version, map: map.with_sole_member(own) });
             return;
         }
         let to = self.rng.random_range(0..ENTRIES);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -143,7 +143,9 @@
         let joiner = self.member(entry);
         let change = match through {
             Some(member) => self.view(member)?.plan_join(joiner).ok_or("no change possible")?,
-            None if unaided => MapChange { version: self.version, map: self.map.with_only(joiner) },
+            None if unaided => {
+                MapChange { version: self.version, map: self.map.with_sole_member(joiner) }
+            }
             None => MapChange { version: self.version, map: self.map.with_member(joiner) },
         };
         self.write(through.unwrap_or(entry), change, false)?;
