--- a/src/connection/announcement.rs
+++ b/src/connection/announcement.rs
@@ -72,7 +72,7 @@
     /// Requests in flight when it began, with this one.
     pub in_flight: u32,
     /// How long the answer took, if it was a good one.
-    pub answered: Option<Duration>,
+    pub response_time: Option<Duration>,
 }
 
 /// Answer to an endpoint that leaves. Requests can still be on their way to it: it has had all of them
@@ -187,14 +187,14 @@
     /// ```
     /// # use std::time::Instant;
     /// # use greengagearch::connection::announcement::{EndpointTable, SlotUse};
-    /// let ended = SlotUse { in_flight: 1, answered: None };
+    /// let ended = SlotUse { in_flight: 1, response_time: None };
     /// EndpointTable::default().release_slot("r1", ended, Instant::now());
     /// ```
     pub fn release_slot(&mut self, endpoint: &str, ended: SlotUse, now: Instant) {
         let Some(known) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if let Some(time) = ended.answered.filter(|_| known.is_adaptive) {
+        if let Some(time) = ended.response_time.filter(|_| known.is_adaptive) {
             // Half-way between the requests beside it at its beginning and at its end.
             let level = (ended.in_flight + known.in_flight).div_ceil(2);
             known.limit.on_response(level, time, now);
@@ -291,7 +291,7 @@
         let later = now + Duration::from_secs(60);
         assert!(table.reports(later)[0].leaving);
         assert_eq!(table.take_slot("r1", false, later), Err(NotRunReason::EndpointLeaving));
-        table.release_slot("r1", SlotUse { in_flight: 1, answered: None }, later);
+        table.release_slot("r1", SlotUse { in_flight: 1, response_time: None }, later);
         assert!(table.reports(later).is_empty());
     }
 
@@ -315,7 +315,7 @@
             let taken = (0..wanted).filter(|_| table.take_slot("r1", true, now).is_ok()).count();
             for in_flight in (1..=taken).rev() {
                 let time = Duration::from_millis(20).mul_f64((in_flight as f64 / 2.0).max(1.0));
-                let ended = SlotUse { in_flight: in_flight as u32, answered: Some(time) };
+                let ended = SlotUse { in_flight: in_flight as u32, response_time: Some(time) };
                 table.release_slot("r1", ended, now);
             }
         }
--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -142,7 +142,7 @@
     let outcome = call_endpoint(shared, order, &target.address).await;
     let now = clock::now();
     let answered = is_good(&outcome).then_some(now - started);
-    let ended = SlotUse { in_flight: target.in_flight, answered };
+    let ended = SlotUse { in_flight: target.in_flight, response_time: answered };
     shared.endpoints().release_slot(&order.endpoint, ended, now);
     if let Some(time) = answered {
         shared.observer().on_answer(service, time, now);
