--- a/src/connection/announcement.rs
+++ b/src/connection/announcement.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they announce themselves to the agent on their host.
+//! Announcements of endpoints to the agent on their host, and the agent's table of these endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,85 +13,91 @@
 use crate::request::pool_endpoint::EndpointLoad;
 use crate::request::pool_endpoint::EndpointReport;
 
-/// How long after its lapse a leaving endpoint is still reported, so that every entry hears of it.
-const FAREWELL: Duration = Duration::from_secs(10);
+/// How long an endpoint is still reported as leaving after its announcement has expired, so that
+/// the report reaches every entry.
+const EXPIRED_REPORT_TIME: Duration = Duration::from_secs(10);
 
-/// What an endpoint sends to its agent, and repeats to stay announced.
+/// Announcement that an endpoint sends to its agent and renews before it expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointAnnouncement {
     /// Name of the endpoint, unique on its host.
     pub endpoint: EndpointId,
-    /// The service it serves.
+    /// Service that the endpoint serves.
     pub service: String,
-    /// IP address and port on which it takes requests.
+    /// IP address and port on which the endpoint accepts requests.
     pub address: String,
-    /// Requests it can run at once.
+    /// Number of requests that the endpoint can run concurrently.
     pub slots: u32,
-    /// Connections it accepts at most.
+    /// Maximum number of connections that the endpoint accepts.
     pub connections: u32,
-    /// How long the announcement holds, in milliseconds.
+    /// Time until the announcement expires unless it is renewed, in milliseconds.
     pub ttl_millis: u64,
 }
 
 #[derive(Clone, Debug)]
 struct AnnouncedEndpoint {
     announcement: EndpointAnnouncement,
-    lapses_at: Instant,
+    expires_at: Instant,
     leaving: bool,
     in_flight: u32,
+    /// Number of requests sent to the endpoint since its first announcement.
     dispatched: u64,
     limit: ConcurrencyLimit,
+    /// Whether the concurrency limit applies, according to the service's settings.
     is_adaptive: bool,
 }
 
 impl AnnouncedEndpoint {
-    /// Requests that may be in flight now: each takes a slot and a connection.
+    /// Returns the number of requests that may currently be in flight.
     fn slots(&self) -> u32 {
-        let announced = slots_of(&self.announcement);
+        let announced = usable_slots(&self.announcement);
         if self.is_adaptive { self.limit.limit().min(announced) } else { announced }
     }
 }
 
-fn slots_of(announcement: &EndpointAnnouncement) -> u32 {
+/// Returns the number of slots that can be in use at once: each request needs a slot and a
+/// connection.
+fn usable_slots(announcement: &EndpointAnnouncement) -> u32 {
     announcement.slots.min(announcement.connections)
 }
 
-/// Where a dispatch goes.
+/// Endpoint to which a request is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointTarget {
-    /// IP address and port.
+    /// IP address and port of the endpoint.
     pub address: String,
-    /// Requests in flight there, with this one.
+    /// Requests in flight at the endpoint, including this one.
     pub in_flight: u32,
 }
 
-/// How a dispatch used its slot.
+/// Use of a slot by one dispatched request, which the concurrency limit learns from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotUse {
-    /// Requests in flight when it began, with this one.
+    /// Requests in flight at the endpoint when this one started, including this one.
     pub in_flight: u32,
-    /// How long the answer took, if it was a good one.
+    /// Response time, if the response was a good one.
     pub response_time: Option<Duration>,
 }
 
-/// Answer to an endpoint that leaves. Requests can still be on their way to it: it has had all of them
-/// when it has begun as many as were dispatched.
+/// Reply to an endpoint that leaves. Dispatched requests may still be in transit: the endpoint has
+/// received all of them once it has started as many as were dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaveReceipt {
-    /// Requests that the agent has dispatched to the endpoint since it first heard of it.
+    /// Number of requests that the agent has dispatched to the endpoint since its first
+    /// announcement.
     pub dispatched: u64,
 }
 
-/// The endpoints of one agent, with their slots in use.
+/// Endpoints that have announced themselves to one agent, with their slots in use.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: BTreeMap<EndpointId, AnnouncedEndpoint>,
 }
 
 impl EndpointTable {
-    /// Takes in an announcement or its renewal. After a leave, announcements are ignored until the
-    /// last one has lapsed: a renewal that was overtaken by the leave must not undo it.
+    /// Records an announcement or its renewal. After a leave, announcements are ignored until the
+    /// last one has expired, because a delayed renewal from before the leave must not undo it.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -103,22 +109,22 @@
     /// assert_eq!(table.reports(Instant::now()).len(), 1);
     /// ```
     pub fn announce(&mut self, announcement: EndpointAnnouncement, now: Instant) {
-        let lapses_at = now + Duration::from_millis(announcement.ttl_millis);
+        let expires_at = now + Duration::from_millis(announcement.ttl_millis);
         let known = self.endpoints.get(&announcement.endpoint);
-        if known.is_some_and(|endpoint| endpoint.leaving && now < endpoint.lapses_at) {
+        if known.is_some_and(|endpoint| endpoint.leaving && now < endpoint.expires_at) {
             return;
         }
-        let slots = slots_of(&announcement);
+        let slots = usable_slots(&announcement);
         match self.endpoints.get_mut(&announcement.endpoint) {
             Some(known) => {
                 known.limit.set_slots(slots);
-                known.lapses_at = lapses_at;
+                known.expires_at = expires_at;
                 known.leaving = false;
                 known.announcement = announcement;
             }
             None => {
                 let endpoint = AnnouncedEndpoint {
-                    lapses_at,
+                    expires_at,
                     leaving: false,
                     in_flight: 0,
                     dispatched: 0,
@@ -131,8 +137,8 @@
         }
     }
 
-    /// Marks an endpoint as leaving. Gives what it has been sent, if it is known: nothing is added
-    /// to that from here on.
+    /// Marks an endpoint as leaving, so that no more requests are dispatched to it. Returns the
+    /// final number of dispatched requests, or `None` if the endpoint is not known.
     ///
     /// ```
     /// # use greengagearch::connection::announcement::EndpointTable;
@@ -144,12 +150,12 @@
         Some(LeaveReceipt { dispatched: known.dispatched })
     }
 
-    /// Takes a slot for a dispatch; `is_adaptive` says whether the service's slots are bounded by
-    /// what was learned of the endpoint.
+    /// Takes a slot of an endpoint for a request. `is_adaptive` tells whether the learned
+    /// concurrency limit bounds the number of slots.
     ///
     /// # Errors
     ///
-    /// Why the dispatch must not go to the endpoint.
+    /// Returns the reason why the request must not be sent to the endpoint.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -167,7 +173,7 @@
         let Some(known) = self.endpoints.get_mut(endpoint) else {
             return Err(NotRunReason::EndpointLeaving);
         };
-        if known.leaving || now >= known.lapses_at {
+        if known.leaving || now >= known.expires_at {
             return Err(NotRunReason::EndpointLeaving);
         }
         known.is_adaptive = is_adaptive;
@@ -182,7 +188,7 @@
         })
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a request that has ended.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -195,14 +201,14 @@
             return;
         };
         if let Some(time) = ended.response_time.filter(|_| known.is_adaptive) {
-            // Half-way between the requests beside it at its beginning and at its end.
+            // Mean of the requests in flight at the start and at the end of this one, rounded up.
             let level = (ended.in_flight + known.in_flight).div_ceil(2);
             known.limit.on_response(level, time, now);
         }
         known.in_flight = known.in_flight.saturating_sub(1);
     }
 
-    /// Requests in flight at all endpoints.
+    /// Returns the number of requests in flight at all endpoints.
     ///
     /// ```
     /// assert_eq!(greengagearch::connection::announcement::EndpointTable::default().in_flight(), 0);
@@ -211,7 +217,7 @@
         self.endpoints.values().map(|endpoint| endpoint.in_flight).sum()
     }
 
-    /// What one endpoint runs and may run.
+    /// Returns the load of an endpoint.
     ///
     /// ```
     /// # use greengagearch::connection::announcement::EndpointTable;
@@ -222,8 +228,9 @@
         Some(EndpointLoad { slots: known.slots(), in_flight: known.in_flight })
     }
 
-    /// What the heartbeat says of each endpoint. A lapsed one counts as leaving; it is forgotten
-    /// when it has no request in flight and every entry had time to hear of it.
+    /// Returns the reports of all endpoints, for the agent's heartbeat. An endpoint whose
+    /// announcement has expired is reported as leaving. It is removed after a further
+    /// `EXPIRED_REPORT_TIME`, once it has no request in flight.
     ///
     /// ```
     /// # use std::time::Instant;
@@ -231,14 +238,15 @@
     /// assert!(EndpointTable::default().reports(Instant::now()).is_empty());
     /// ```
     pub fn reports(&mut self, now: Instant) -> Vec<EndpointReport> {
-        self.endpoints
-            .retain(|_, endpoint| endpoint.in_flight > 0 || now < endpoint.lapses_at + FAREWELL);
+        self.endpoints.retain(|_, endpoint| {
+            endpoint.in_flight > 0 || now < endpoint.expires_at + EXPIRED_REPORT_TIME
+        });
         let reports = self.endpoints.values().map(|endpoint| EndpointReport {
             endpoint: endpoint.announcement.endpoint.clone(),
             service: endpoint.announcement.service.clone(),
             slots: endpoint.slots(),
             in_flight: endpoint.in_flight,
-            leaving: endpoint.leaving || now >= endpoint.lapses_at,
+            leaving: endpoint.leaving || now >= endpoint.expires_at,
         });
         reports.collect()
     }
@@ -260,7 +268,7 @@
     }
 
     #[test]
-    fn a_renewal_keeps_the_slots_in_use() {
+    fn a_renewal_does_not_release_slots_in_use() {
         let now = Instant::now();
         let mut table = EndpointTable::default();
         table.announce(announcement(), now);
@@ -283,7 +291,7 @@
     }
 
     #[test]
-    fn a_lapsed_endpoint_gets_nothing_and_keeps_its_request() {
+    fn an_expired_endpoint_gets_no_request_and_stays_until_its_last_one_ends() {
         let now = Instant::now();
         let mut table = EndpointTable::default();
         table.announce(announcement(), now);
@@ -296,11 +304,11 @@
     }
 
     #[test]
-    fn slots_are_bounded_by_connections_and_by_what_was_learned() {
+    fn slots_are_bounded_by_connections_and_by_the_learned_limit() {
         let start = Instant::now();
         let mut table = EndpointTable::default();
         table.announce(EndpointAnnouncement { slots: 8, ..announcement() }, start);
-        assert_eq!(table.load_of("r1").unwrap().slots, 4, "connections are fewer");
+        assert_eq!(table.load_of("r1").unwrap().slots, 4, "bounded by the number of connections");
         let announcement = EndpointAnnouncement {
             slots: 8,
             connections: 64,
@@ -308,11 +316,12 @@
             ..announcement()
         };
         table.announce(announcement, start);
-        // Two cores: beyond two in flight each further request only makes the others slower.
+        // Simulates two cores: with more than two requests in flight, response times grow in
+        // proportion.
         for step in 0..4_000_u64 {
             let now = start + Duration::from_millis(step * 10);
-            let wanted = 1 + step % 8;
-            let taken = (0..wanted).filter(|_| table.take_slot("r1", true, now).is_ok()).count();
+            let attempts = 1 + step % 8;
+            let taken = (0..attempts).filter(|_| table.take_slot("r1", true, now).is_ok()).count();
             for in_flight in (1..=taken).rev() {
                 let time = Duration::from_millis(20).mul_f64((in_flight as f64 / 2.0).max(1.0));
                 let ended = SlotUse { in_flight: in_flight as u32, response_time: Some(time) };
@@ -323,6 +332,10 @@
         assert!(slots <= 4, "{slots}");
         assert_eq!(table.reports(start)[0].slots, slots);
         assert!(table.take_slot("r1", false, start).is_ok());
-        assert_eq!(table.load_of("r1").unwrap().slots, 8, "without the guard all slots count");
+        assert_eq!(
+            table.load_of("r1").unwrap().slots,
+            8,
+            "all announced slots without the adaptive limit"
+        );
     }
 }
