--- a/src/connection/cluster_map.rs
+++ b/src/connection/cluster_map.rs
@@ -1,8 +1,9 @@
-//! The set of entries and the owners of partitions: one row of the table service.
+//! The cluster map: the member entries and the owner of each partition, stored as one row of the
+//! table service.
 //!
-//! Members and owners stand in one row, so that one compare-and-swap removes a dead entry and
-//! gives its partitions away, and one read keeps all leases of an entry fresh. The row's size
-//! depends on the number of entries and partitions, never on that of workers.
+//! Members and owners share one row so that a single compare-and-swap both removes a dead entry
+//! and reassigns its partitions, and a single read renews all partition leases of an entry. The
+//! size of the row depends on the number of entries and partitions, not on the number of workers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,55 +19,58 @@
 use crate::ids::LeaseEpoch;
 use crate::ids::PartitionId;
 
-/// Key of the row.
+/// Key of the cluster map's row in the table service.
 pub const CLUSTER_KEY: &str = "cluster";
-/// Number of partitions of request ids and jobs; fixed for the life of a cluster.
+/// Number of partitions of request ids, jobs and workers. Partitions are computed from hashes
+/// modulo this number, so it cannot change during the lifetime of a cluster.
 pub const PARTITION_COUNT: PartitionId = 64;
 
-/// One entry that takes part.
+/// An entry process that is a member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryMember {
-    /// Its name.
+    /// Name of the entry.
     pub id: EntryId,
-    /// The run of the process that takes part.
+    /// Incarnation (process run) of the entry that is the member.
     pub incarnation: IncarnationId,
-    /// Address of its internal listener.
+    /// Address of the entry's internal listener.
     pub address: String,
 }
 
-/// Who owns one partition.
+/// Ownership of one partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionOwner {
-    /// The owner's incarnation; zero when there is none.
+    /// Incarnation of the owner; zero if the partition has no owner.
     pub incarnation: IncarnationId,
-    /// Epoch of the ownership; each change raises it.
+    /// Epoch of the ownership; incremented each time the owner changes.
     pub epoch: LeaseEpoch,
-    /// Whether the owner before had stopped acting when it gave the partition away.
+    /// Whether the previous owner had stopped acting for the partition when the ownership changed,
+    /// so that the new owner can act without waiting for its lease to expire.
     pub handed_over: bool,
 }
 
 impl Default for PartitionOwner {
-    /// A partition that nobody acts for.
+    /// A partition without an owner, which its first owner can act for at once.
     fn default() -> PartitionOwner {
         PartitionOwner { incarnation: 0, epoch: 0, handed_over: true }
     }
 }
 
-/// Time spans that all processes must agree on, in milliseconds; written by the first entry.
+/// Durations in milliseconds that all processes must agree on. The first entry of the cluster
+/// writes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterTiming {
-    /// Time between two heartbeats of an entry.
+    /// Heartbeat interval of entries.
     pub entry_beat_millis: u64,
-    /// Time between two heartbeats of an agent.
+    /// Heartbeat interval of agents.
     pub agent_beat_millis: u64,
-    /// How long leases may live on grants alone.
+    /// How long grants alone, without a read of the lease's row, may keep a lease valid.
     pub longest_grant_only_millis: u64,
 }
 
-/// Heartbeats that may be lost before a lease lapses.
-const BEATS_PER_LEASE: u32 = 4;
-/// Highest difference in speed of two monotonic clocks, in parts per thousand.
-const CLOCK_DRIFT_PER_MILLE: u32 = 10;
+/// Validity of a lease after a read or a grant, in heartbeat intervals.
+const HEARTBEATS_PER_LEASE: u32 = 4;
+/// Maximum difference in rate between two monotonic clocks, in parts per thousand.
+const MAX_CLOCK_DRIFT_PER_MILLE: u32 = 10;
 
 impl Default for ClusterTiming {
     fn default() -> ClusterTiming {
@@ -79,7 +83,7 @@
 }
 
 impl ClusterTiming {
-    /// Time between two heartbeats of an entry.
+    /// Heartbeat interval of entries.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterTiming;
@@ -90,7 +94,7 @@
         Duration::from_millis(self.entry_beat_millis)
     }
 
-    /// Time between two heartbeats of an agent.
+    /// Heartbeat interval of agents.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterTiming;
@@ -101,7 +105,7 @@
         Duration::from_millis(self.agent_beat_millis)
     }
 
-    /// Timing of the leases of partitions, held by entries.
+    /// Timing of partition leases, which entries hold.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterTiming;
@@ -112,7 +116,7 @@
         self.lease(self.entry_beat())
     }
 
-    /// Timing of the leases of workers, held by agents.
+    /// Timing of worker leases, which agents hold.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterTiming;
@@ -123,34 +127,35 @@
         self.lease(self.agent_beat())
     }
 
-    fn lease(&self, beat: Duration) -> LeaseTiming {
+    fn lease(&self, heartbeat: Duration) -> LeaseTiming {
         LeaseTiming {
-            freshness: beat * BEATS_PER_LEASE,
-            grant: beat * BEATS_PER_LEASE,
+            freshness: heartbeat * HEARTBEATS_PER_LEASE,
+            grant: heartbeat * HEARTBEATS_PER_LEASE,
             longest_grant_only: Duration::from_millis(self.longest_grant_only_millis),
-            drift_per_mille: CLOCK_DRIFT_PER_MILLE,
+            drift_per_mille: MAX_CLOCK_DRIFT_PER_MILLE,
         }
     }
 }
 
-/// Members and owners under one generation.
+/// Members of the cluster and owners of its partitions, as of one generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterMap {
-    /// Raised by each change of the map.
+    /// Number of the map's version; each change increments it.
     pub generation: u64,
-    /// Generation of the newest change that was made without any member's help; zero for none.
+    /// Generation of the newest change that an entry wrote without the cooperation of any member
+    /// (see [`ClusterMap::with_sole_member`]); zero if there was none.
     pub unaided_generation: u64,
-    /// Time spans that all processes go by.
+    /// Heartbeat and lease durations that all processes use.
     pub timing: ClusterTiming,
-    /// All entries that may take a lease over.
+    /// All entries that may own partitions and take over leases.
     pub members: Vec<EntryMember>,
-    /// Owner of each partition.
+    /// Owner of each partition, indexed by partition.
     pub owners: Vec<PartitionOwner>,
 }
 
 impl ClusterMap {
-    /// The map with `member` added, in place of an earlier run of the same entry, and with the
-    /// partitions spread evenly.
+    /// Returns the map with `member` added and the partitions rebalanced. `member` replaces an
+    /// earlier incarnation of the same entry.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -168,8 +173,9 @@
         self.with_members(members)
     }
 
-    /// The map with `member` alone, written while no other member answers. Those may be alive and
-    /// cut off, so that nobody acts on this map before leases on their grants have lapsed.
+    /// Returns the map with `member` as its only member, for an entry that joins while no member
+    /// responds. The removed members may be alive but partitioned from the network, so no entry
+    /// acts on this map until the leases that rely on their grants have expired.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -184,7 +190,7 @@
         map
     }
 
-    /// The map without the entries of the given incarnations.
+    /// Returns the map without the given incarnations, with their partitions reassigned.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -197,7 +203,8 @@
         self.with_members(members)
     }
 
-    /// The map without a member that has stopped acting for its partitions.
+    /// Returns the map without a member that has stopped acting for its partitions, so that their
+    /// new owners can act at once.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -216,7 +223,7 @@
         map
     }
 
-    /// Whether an incarnation takes part.
+    /// Returns whether an incarnation is a member.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -227,7 +234,7 @@
         self.members.iter().any(|member| member.incarnation == incarnation)
     }
 
-    /// Partitions of an incarnation, with the epoch of each ownership.
+    /// Returns the partitions that an incarnation owns, with the epoch of each ownership.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -240,7 +247,7 @@
         owned.map(|(partition, owner)| (partition, owner.epoch)).collect()
     }
 
-    /// The member that owns a partition.
+    /// Returns the member that owns a partition.
     ///
     /// ```
     /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -261,28 +268,29 @@
             owners: self.owners.clone(),
         };
         map.owners.resize(PARTITION_COUNT as usize, PartitionOwner::default());
-        map.spread_partitions();
+        map.rebalance_partitions();
         map
     }
 
-    /// Moves as few partitions as needed until no member has two more than another.
-    fn spread_partitions(&mut self) {
+    /// Reassigns the partitions whose owner is not a member or owns more than its share. Each goes
+    /// to the member that owns the fewest; all other partitions keep their owner.
+    fn rebalance_partitions(&mut self) {
         let mut counts: BTreeMap<IncarnationId, usize> =
             self.members.iter().map(|member| (member.incarnation, 0)).collect();
         if counts.is_empty() {
             return;
         }
         let share = self.owners.len().div_ceil(counts.len());
-        let mut homeless = Vec::new();
+        let mut unassigned = Vec::new();
         for (index, owner) in self.owners.iter().enumerate() {
             match counts.get_mut(&owner.incarnation) {
                 Some(count) if *count < share => *count += 1,
-                _ => homeless.push(index),
+                _ => unassigned.push(index),
             }
         }
-        for index in homeless {
-            let least = counts.iter_mut().min_by_key(|(_, count)| **count);
-            let Some((incarnation, count)) = least else {
+        for index in unassigned {
+            let least_loaded = counts.iter_mut().min_by_key(|(_, count)| **count);
+            let Some((incarnation, count)) = least_loaded else {
                 return;
             };
             *count += 1;
@@ -294,7 +302,7 @@
     }
 }
 
-/// Partition of a request id.
+/// Returns the partition of a request id.
 ///
 /// ```
 /// use greengagearch::connection::cluster_map::PARTITION_COUNT;
@@ -306,7 +314,8 @@
     partition_of(id.as_bytes())
 }
 
-/// Partition of a team's jobs: one owner sees all of a team's work, so that its quota is exact.
+/// Returns the partition of a team's jobs. All jobs of a team are in one partition, so that its
+/// owner can enforce the team's quota exactly.
 ///
 /// ```
 /// use greengagearch::connection::cluster_map::partition_of_team;
@@ -317,7 +326,7 @@
     partition_of(team.as_bytes())
 }
 
-/// Partition whose owner looks after a worker.
+/// Returns the partition whose owner is responsible for a worker.
 ///
 /// ```
 /// use greengagearch::connection::cluster_map::partition_of_worker;
@@ -341,7 +350,7 @@
     }
 
     #[test]
-    fn a_join_moves_only_what_the_joiner_gets() {
+    fn a_join_moves_only_the_partitions_of_the_new_member() {
         let two = ClusterMap::default().with_member(member(1)).with_member(member(2));
         let three = two.with_member(member(3));
         let moved = two.owners.iter().zip(&three.owners).filter(|(old, new)| old != new).count();
@@ -350,7 +359,7 @@
     }
 
     #[test]
-    fn a_removal_raises_the_epoch_of_what_moved() {
+    fn a_removal_raises_the_epochs_of_the_moved_partitions() {
         let two = ClusterMap::default().with_member(member(1)).with_member(member(2));
         let one = two.without_members(&[2]);
         for (partition, epoch) in two.owned_by(2) {
@@ -360,20 +369,21 @@
     }
 
     #[test]
-    fn only_what_a_stopped_owner_gave_away_is_handed_over() {
+    fn only_partitions_of_a_stopped_owner_are_handed_over() {
         let two = ClusterMap::default().with_member(member(1)).with_member(member(2));
-        let left = two.handed_over_by(2);
-        for (before, after) in two.owners.iter().zip(&left.owners) {
+        let after_leave = two.handed_over_by(2);
+        for (before, after) in two.owners.iter().zip(&after_leave.owners) {
             assert_eq!(after.handed_over, before.incarnation == 2 || before.handed_over);
         }
-        let died = left.with_member(member(3)).without_members(&[1]);
-        let moved = died.owners.iter().zip(&left.owners).filter(|(now, then)| now != then);
+        let after_death = after_leave.with_member(member(3)).without_members(&[1]);
+        let moved =
+            after_death.owners.iter().zip(&after_leave.owners).filter(|(now, then)| now != then);
         assert!(moved.count() > 0);
-        assert!(died.owners.iter().all(|owner| !owner.handed_over || owner.epoch <= 2));
+        assert!(after_death.owners.iter().all(|owner| !owner.handed_over || owner.epoch <= 2));
     }
 
     #[test]
-    fn the_last_member_hands_over_to_whoever_comes() {
+    fn the_last_member_hands_over_to_the_next_one_that_joins() {
         let none = ClusterMap::default().with_member(member(1)).handed_over_by(1);
         assert!(none.members.is_empty());
         let next = none.with_member(member(2));
@@ -381,11 +391,11 @@
     }
 
     #[test]
-    fn a_new_run_of_an_entry_replaces_the_old_one() {
+    fn a_new_incarnation_of_an_entry_replaces_the_old_one() {
         let first = ClusterMap::default().with_member(member(1));
-        let mut again = member(9);
-        again.id = "e1".to_string();
-        let second = first.with_member(again);
+        let mut restarted = member(9);
+        restarted.id = "e1".to_string();
+        let second = first.with_member(restarted);
         assert!(!second.has_member(1));
         assert_eq!(second.owned_by(9).len(), PARTITION_COUNT as usize);
     }
