--- a/src/connection/map_change.rs
+++ b/src/connection/map_change.rs
@@ -1,29 +1,29 @@
-//! A change of the cluster's row on its way to the table service.
+//! Changes of the cluster map's row while their write to the table service is in progress.
 
 use crate::connection::cluster_map::ClusterMap;
 use crate::ids::RowVersion;
 
-/// A change of the row that an entry is about to write.
+/// A change of the cluster map that an entry writes with a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MapChange {
-    /// Version of the row that the change builds on.
+    /// Version of the row that the change is based on.
     pub version: RowVersion,
-    /// The new map.
+    /// The map to write.
     pub map: ClusterMap,
 }
 
-/// How the write of a change ended.
+/// Result of writing a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeResult {
-    /// It took effect, and the row has this version.
+    /// The write took effect and gave the row this version.
     Written(RowVersion),
-    /// It took no effect and never will.
+    /// The write had no effect and never will.
     Refused,
-    /// It may take effect now or later.
+    /// The outcome is not known: the write may have taken effect or may still do so.
     Ambiguous,
 }
 
-/// The change that an entry has sent and whose outcome it does not know yet.
+/// The change that an entry has sent and whose outcome it does not know yet, if there is one.
 ///
 /// ```
 /// use greengagearch::connection::cluster_map::ClusterMap;
@@ -42,23 +42,25 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingChange {
     change: Option<MapChange>,
-    /// Whether a write of it, or of another change of the same row, got no answer: it may take effect until the row has moved on.
-    is_doubtful: bool,
+    /// Whether a write of this change, or of another change of the same row, got no response. Such
+    /// a write may take effect until the row has a newer version.
+    has_unanswered_write: bool,
 }
 
 impl PendingChange {
-    /// The change, as long as its outcome is not known.
+    /// Returns the change whose outcome is not known.
     pub fn change(&self) -> Option<&MapChange> {
         self.change.as_ref()
     }
 
-    /// Must be called before a change is sent to the table service.
+    /// Records a change; must be called before the change is sent to the table service.
     pub fn begin(&mut self, change: MapChange) {
         self.change = Some(change);
     }
 
-    /// Takes in the version of a row that was read. Says whether that settles the change: where the row has moved on, the change
-    /// either is in it or can never be.
+    /// Processes a read of the row at `version`. Returns whether this determines the outcome of the
+    /// change: if the row is newer than the version that the change is based on, the change either
+    /// has taken effect or never will.
     pub fn on_row(&mut self, version: RowVersion) -> bool {
         let is_settled = self.change.as_ref().is_some_and(|change| version > change.version);
         if is_settled {
@@ -67,15 +69,15 @@
         is_settled
     }
 
-    /// Takes in how a write ended. Says whether that settles the change.
+    /// Processes the result of a write. Returns whether this determines the outcome of the change.
     pub fn on_result(&mut self, result: ChangeResult) -> bool {
         let is_settled = match result {
             ChangeResult::Ambiguous => {
-                self.is_doubtful = true;
+                self.has_unanswered_write = true;
                 false
             }
-            // A refusal speaks of its own write alone.
-            ChangeResult::Refused => !self.is_doubtful,
+            // A rejection says nothing about an earlier write that got no response.
+            ChangeResult::Refused => !self.has_unanswered_write,
             ChangeResult::Written(_) => true,
         };
         if is_settled {
