--- a/src/connection/cluster_view.rs
+++ b/src/connection/cluster_view.rs
@@ -1,7 +1,9 @@
-//! An entry's view of the cluster: what it knows, what it may act for, what it promises.
+//! An entry's view of the cluster: the newest known map, the partitions that the entry may act for,
+//! and the grants that it may give to other lease holders.
 //!
-//! The view decides and keeps; reading the row, writing it and sending heartbeats is left to its
-//! callers. `docs/notes/leases.md` derives why two entries never act for one partition.
+//! The view holds state and makes decisions, without input or output: its callers read and write
+//! the cluster map's row and send the heartbeats. `docs/notes/leases.md` derives why two entries
+//! never act for one partition at the same time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,19 +21,19 @@
 use crate::ids::PartitionId;
 use crate::ids::RowVersion;
 
-/// Heartbeats that a member may miss before it is removed.
-const BEATS_TO_REMOVE: u32 = 3;
+/// Heartbeat intervals without contact after which a member is removed.
+const HEARTBEATS_TO_REMOVE: u32 = 3;
 
-/// An entry's right to act for a partition.
+/// Right of an entry to act for a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActingRight {
     /// Epoch of the ownership.
     pub epoch: LeaseEpoch,
-    /// Since when the entry may act.
+    /// Time from which the entry may act.
     pub since: Instant,
 }
 
-/// What an entry knows of the cluster.
+/// An entry's knowledge of the cluster map, its own leases and the other members.
 ///
 /// ```
 /// use std::time::Instant;
@@ -55,18 +57,23 @@
     row_version: Option<RowVersion>,
     holder: Option<LeaseHolder>,
     desk: GrantDesk,
-    acts_from: Vec<Instant>,
-    takes_workers_from: Instant,
-    /// Until then leases may live on grants of members that an unaided change removed.
-    unaided_until: Instant,
-    heard: HashMap<IncarnationId, Instant>,
-    row_read: Option<Instant>,
+    /// For each partition, the time from which its owner may act.
+    acting_from: Vec<Instant>,
+    worker_takeover_from: Instant,
+    /// Time until which leases may be valid through grants of members that an unaided change
+    /// removed.
+    unaided_wait_until: Instant,
+    /// Time of the last contact with each member.
+    last_contacts: HashMap<IncarnationId, Instant>,
+    /// Time at which the newest answered read of the row was sent.
+    last_row_read: Option<Instant>,
     pending: PendingChange,
-    stopped: bool,
+    /// Whether the entry is leaving: it no longer acts for partitions or gives grants.
+    is_stopped: bool,
 }
 
 impl ClusterView {
-    /// The view of an entry that knows nothing yet.
+    /// Creates the view of an entry that does not know any map yet.
     ///
     /// ```
     /// use std::time::Instant;
@@ -85,27 +92,27 @@
             row_version: None,
             holder: None,
             desk: GrantDesk::default(),
-            acts_from: Vec::new(),
-            takes_workers_from: now,
-            unaided_until: now,
-            heard: HashMap::new(),
-            row_read: None,
+            acting_from: Vec::new(),
+            worker_takeover_from: now,
+            unaided_wait_until: now,
+            last_contacts: HashMap::new(),
+            last_row_read: None,
             pending: PendingChange::default(),
-            stopped: false,
+            is_stopped: false,
         }
     }
 
-    /// The newest map that is known.
+    /// Returns the newest known map.
     pub fn map(&self) -> &ClusterMap {
         &self.map
     }
 
-    /// Whether this entry is a member of the newest map it knows.
+    /// Returns whether this entry is a member according to the newest known map.
     pub fn is_member(&self) -> bool {
         self.map.has_member(self.own.incarnation)
     }
 
-    /// Takes in a read of the row that was sent at `sent`.
+    /// Processes the result of a read of the row, which was sent at `sent`.
     pub fn on_row(&mut self, map: ClusterMap, version: RowVersion, sent: Instant, now: Instant) {
         if self.pending.on_row(version) {
             self.desk.end_change(map.generation);
@@ -113,7 +120,7 @@
         if map.generation >= self.map.generation {
             self.row_version = Some(version);
         }
-        self.row_read = self.row_read.max(Some(sent));
+        self.last_row_read = self.last_row_read.max(Some(sent));
         let is_member = map.has_member(self.own.incarnation);
         self.adopt(map, now);
         if let Some(holder) = self.holder.as_mut().filter(|_| is_member) {
@@ -121,7 +128,7 @@
         }
     }
 
-    /// Takes in a map from anywhere; an older one than is known changes nothing.
+    /// Adopts a map from any source. Ignored unless it is newer than the known map.
     pub fn adopt(&mut self, map: ClusterMap, now: Instant) {
         if map.generation <= self.map.generation {
             return;
@@ -133,7 +140,7 @@
         if self.map.unaided_generation > old.unaided_generation {
             let waits = [timing.partition_lease(), timing.worker_lease()];
             let longest = waits.map(|lease| lease.unaided_join_wait()).into_iter().max();
-            self.unaided_until = now + longest.unwrap_or_default();
+            self.unaided_wait_until = now + longest.unwrap_or_default();
         }
         if !self.is_member() {
             self.holder = None;
@@ -141,99 +148,106 @@
             self.holder = Some(LeaseHolder::new(timing.partition_lease(), 0));
             let is_first = old.generation == 0 && self.map.generation == 1;
             let wait = timing.worker_lease().takeover_wait();
-            self.takes_workers_from = if is_first { now } else { now + wait };
+            self.worker_takeover_from = if is_first { now } else { now + wait };
         }
-        // Ownership of partitions is the map's own, so that the newest map is what counts.
+        // The map itself defines who owns the partitions, so partition leases always rely on the
+        // members of the newest map.
         if let Some(holder) = &mut self.holder {
             holder.rely_on(&self.map);
         }
-        self.update_acts_from(&old, now);
-        self.heard.retain(|incarnation, _| self.map.has_member(*incarnation));
+        self.update_acting_from(&old, now);
+        self.last_contacts.retain(|incarnation, _| self.map.has_member(*incarnation));
         for member in &self.map.members {
-            self.heard.entry(member.incarnation).or_insert(now);
+            self.last_contacts.entry(member.incarnation).or_insert(now);
         }
     }
 
-    /// Takes in a sign of life of another entry.
+    /// Records a contact with another entry.
     pub fn on_contact(&mut self, incarnation: IncarnationId, now: Instant) {
-        if let Some(heard) = self.heard.get_mut(&incarnation) {
-            *heard = now;
+        if let Some(last_contact) = self.last_contacts.get_mut(&incarnation) {
+            *last_contact = now;
         }
     }
 
-    /// Takes in a grant that `member` gave in answer to a heartbeat sent at `sent`.
+    /// Records a grant that `member` gave in reply to a heartbeat sent at `sent`.
     pub fn on_grant(&mut self, member: IncarnationId, sent: Instant) {
         if let Some(holder) = &mut self.holder {
             holder.on_grant(member, sent);
         }
     }
 
-    /// This entry's right to act for a partition at `now`, if it has one.
+    /// Returns this entry's right to act for a partition at `now`, if it has one.
     pub fn acting_right(&self, partition: PartitionId, now: Instant) -> Option<ActingRight> {
-        self.right_by_map(partition, now).filter(|_| self.is_valid(now))
+        self.right_by_map(partition, now).filter(|_| self.has_valid_leases(now))
     }
 
-    /// The partitions that this entry may act for at `now`.
+    /// Returns the partitions that this entry may act for at `now`.
     pub fn acting_partitions(&self, now: Instant) -> Vec<PartitionId> {
-        if !self.is_valid(now) {
+        if !self.has_valid_leases(now) {
             return Vec::new();
         }
         let all = 0..self.map.owners.len() as PartitionId;
         all.filter(|partition| self.right_by_map(*partition, now).is_some()).collect()
     }
 
-    /// Whether this entry's leases are valid at `now`.
-    fn is_valid(&self, now: Instant) -> bool {
-        let holder = self.holder.as_ref().filter(|_| !self.stopped);
+    /// Returns whether this entry's partition leases are valid at `now`.
+    fn has_valid_leases(&self, now: Instant) -> bool {
+        let holder = self.holder.as_ref().filter(|_| !self.is_stopped);
         holder.is_some_and(|holder| holder.is_valid(now))
     }
 
-    /// The right that the map gives to this entry, as far as its leases are valid.
+    /// Returns this entry's right to act according to the map and the waits after its changes,
+    /// without checking that the entry's leases are valid.
     fn right_by_map(&self, partition: PartitionId, now: Instant) -> Option<ActingRight> {
         let owner = self.map.owners.get(partition as usize)?;
-        let since = *self.acts_from.get(partition as usize)?;
-        let since = since.max(self.unaided_until);
+        let since = *self.acting_from.get(partition as usize)?;
+        let since = since.max(self.unaided_wait_until);
         let is_own = owner.incarnation == self.own.incarnation;
         (is_own && now >= since).then_some(ActingRight { epoch: owner.epoch, since })
     }
 
-    /// Whether this entry may take the leases of workers over at `now`.
+    /// Returns whether this entry may take over worker leases at `now`.
     pub fn may_take_over_workers(&self, now: Instant) -> bool {
-        let from = self.takes_workers_from.max(self.unaided_until);
-        self.is_member() && !self.stopped && now >= from
+        let from = self.worker_takeover_from.max(self.unaided_wait_until);
+        self.is_member() && !self.is_stopped && now >= from
     }
 
-    /// Whether the holder of a lease, who knows the map of `generation`, gets a grant.
+    /// Returns whether to give a grant to the holder of `lease` at `epoch`, whose lease relies on
+    /// the map of `generation`.
     pub fn may_grant(&self, lease: &str, epoch: LeaseEpoch, generation: u64) -> bool {
-        self.is_member() && !self.stopped && self.desk.may_grant(lease, epoch, generation)
+        self.is_member() && !self.is_stopped && self.desk.may_grant(lease, epoch, generation)
     }
 
-    /// Must be called before a takeover of a worker's lease is sent to the table service.
+    /// Stops granting to holders of `lease` below `epoch`. Must be called before a takeover of a
+    /// worker's lease is sent to the table service.
     pub fn supersede(&mut self, lease: &str, epoch: LeaseEpoch) {
         self.desk.supersede(lease, epoch);
     }
 
-    /// The version of the row at the newest map, as a check in a worker's takeover.
+    /// Returns the row's version at the newest known map. The takeover of a worker's lease is
+    /// conditional on it.
     pub fn row_version(&self) -> Option<RowVersion> {
         self.row_version
     }
 
-    /// The change that adds `member`, when this entry can write one now.
+    /// Returns the change that adds `member`, if this entry can write a change now.
     pub fn plan_join(&self, member: EntryMember) -> Option<MapChange> {
         let version =
             self.row_version.filter(|_| self.is_member() && self.pending.change().is_none())?;
         Some(MapChange { version, map: self.map.with_member(member) })
     }
 
-    /// The change that removes silent members, or settles a change whose outcome is not known.
+    /// Returns the pending change, to be written again until its outcome is known, or else the
+    /// change that removes the members without recent contact, if there are any.
     pub fn plan_upkeep(&self, now: Instant) -> Option<MapChange> {
         if let Some(change) = self.pending.change() {
             return Some(change.clone());
         }
-        let version = self.row_version.filter(|_| self.is_member() && !self.stopped)?;
-        let limit = self.map.timing.entry_beat() * BEATS_TO_REMOVE;
-        let silent = self.heard.iter().filter(|(incarnation, heard)| {
-            **incarnation != self.own.incarnation && now.saturating_duration_since(**heard) > limit
+        let version = self.row_version.filter(|_| self.is_member() && !self.is_stopped)?;
+        let limit = self.map.timing.entry_beat() * HEARTBEATS_TO_REMOVE;
+        let silent = self.last_contacts.iter().filter(|(incarnation, contact)| {
+            **incarnation != self.own.incarnation
+                && now.saturating_duration_since(**contact) > limit
         });
         let silent: Vec<IncarnationId> = silent.map(|(incarnation, _)| *incarnation).collect();
         if silent.is_empty() {
@@ -242,20 +256,22 @@
         Some(MapChange { version, map: self.map.without_members(&silent) })
     }
 
-    /// The change that hands this entry's partitions over; from now on it acts for none.
+    /// Stops acting for all partitions and returns the change that hands them over to the other
+    /// members.
     pub fn plan_leave(&mut self) -> Option<MapChange> {
-        self.stopped = true;
+        self.is_stopped = true;
         let version = self.row_version.filter(|_| self.is_member())?;
         Some(MapChange { version, map: self.map.handed_over_by(self.own.incarnation) })
     }
 
-    /// Must be called before a change is sent to the table service.
+    /// Records a change as pending and gives no grants until its outcome is known. Must be called
+    /// before the change is sent to the table service.
     pub fn begin_change(&mut self, change: &MapChange) {
         self.pending.begin(change.clone());
         self.desk.begin_change();
     }
 
-    /// Takes in how the write of a change ended.
+    /// Processes the result of writing a change.
     pub fn end_change(&mut self, change: MapChange, result: ChangeResult, now: Instant) {
         if !self.pending.on_result(result) {
             return;
@@ -269,41 +285,46 @@
         self.adopt(change.map, now);
     }
 
-    fn update_acts_from(&mut self, old: &ClusterMap, now: Instant) {
+    /// Sets the time from which the owner may act for each partition whose owner has changed.
+    fn update_acting_from(&mut self, old: &ClusterMap, now: Instant) {
         let wait = self.map.timing.partition_lease().takeover_wait();
-        self.acts_from.resize(self.map.owners.len(), now);
+        self.acting_from.resize(self.map.owners.len(), now);
         for (index, owner) in self.map.owners.iter().enumerate() {
-            let is_same = old.owners.get(index).is_some_and(|before| before.epoch == owner.epoch);
-            if !is_same {
-                self.acts_from[index] = if owner.handed_over { now } else { now + wait };
+            let is_unchanged =
+                old.owners.get(index).is_some_and(|before| before.epoch == owner.epoch);
+            if !is_unchanged {
+                self.acting_from[index] = if owner.handed_over { now } else { now + wait };
             }
         }
     }
 
-    /// Whether an owner that does not act at `now` may soon act again: a change of owners may be
-    /// under way while the row can be read, and a lease that lapsed for want of a grant may be granted
-    /// anew while all members are heard of.
+    /// Returns whether a partition without an acting owner at `now` may soon have one again: either
+    /// the row can be read, so that a change of owners may be in progress, or there is recent
+    /// contact with all members, so that a lease that expired without a grant may be renewed.
     pub fn may_regain_lease(&self, now: Instant) -> bool {
         let limit = self.removal_limit();
-        let others = self.heard.iter().filter(|(run, _)| **run != self.own.incarnation);
-        let mut heard = others.map(|(_, heard)| now.saturating_duration_since(*heard));
-        self.has_recent_read(now) || heard.all(|ago| ago <= limit)
+        let others = self
+            .last_contacts
+            .iter()
+            .filter(|(incarnation, _)| **incarnation != self.own.incarnation);
+        let mut silences = others.map(|(_, contact)| now.saturating_duration_since(*contact));
+        self.has_recent_read(now) || silences.all(|silence| silence <= limit)
     }
 
-    /// Whether the row was read so lately that the table service counts as answering.
+    /// Returns whether the row was read recently enough to treat the table service as reachable.
     pub fn has_recent_read(&self, now: Instant) -> bool {
         let freshness = self.map.timing.partition_lease().freshness;
-        self.row_read.is_some_and(|read| now.saturating_duration_since(read) <= freshness)
+        self.last_row_read.is_some_and(|read| now.saturating_duration_since(read) <= freshness)
     }
 
-    /// Longest time from the death of a member until its partitions are served again.
+    /// Returns the maximum time from the crash of a member until new owners act for its partitions.
     pub fn takeover_limit(&self) -> Duration {
         self.removal_limit() + self.map.timing.partition_lease().takeover_wait() * 2
     }
 
-    /// How long a member may be silent before it is removed.
+    /// Returns how long a member may be without contact before it is removed.
     pub fn removal_limit(&self) -> Duration {
-        self.map.timing.entry_beat() * BEATS_TO_REMOVE
+        self.map.timing.entry_beat() * HEARTBEATS_TO_REMOVE
     }
 }
 
@@ -316,7 +337,7 @@
     }
 
     #[test]
-    fn the_first_entry_acts_at_once_and_a_joiner_after_its_wait() {
+    fn the_first_entry_acts_at_once_and_a_joining_entry_after_its_wait() {
         let now = Instant::now();
         let mut first = ClusterView::new(member(1), now);
         let map = ClusterMap::default().with_member(member(1));
@@ -333,7 +354,7 @@
     }
 
     #[test]
-    fn nothing_is_granted_while_a_change_may_take_effect() {
+    fn no_grant_is_given_while_a_change_may_take_effect() {
         let now = Instant::now();
         let mut view = ClusterView::new(member(1), now);
         let map = ClusterMap::default().with_member(member(1));
@@ -350,7 +371,7 @@
     }
 
     #[test]
-    fn in_an_outage_there_is_a_prospect_only_while_all_members_are_heard_of() {
+    fn in_an_outage_leases_may_be_regained_only_with_recent_contact_to_all_members() {
         let now = Instant::now();
         let mut view = ClusterView::new(member(1), now);
         let map = ClusterMap::default().with_member(member(1)).with_member(member(2));
@@ -362,7 +383,7 @@
     }
 
     #[test]
-    fn a_member_that_was_removed_stops_at_once() {
+    fn a_removed_member_stops_acting_at_once() {
         let now = Instant::now();
         let mut view = ClusterView::new(member(1), now);
         let map = ClusterMap::default().with_member(member(1)).with_member(member(2));
