--- a/src/connection/protocol.rs
+++ b/src/connection/protocol.rs
@@ -1,8 +1,8 @@
-//! The messages between the system's own processes, and their services.
+//! RPC services and messages between entries and agents.
 //!
-//! Sizes do not depend on the cluster's size, but for the cluster map (entries only) and the
-//! documents, which are sent when they changed. `group` names the group of workers a heartbeat
-//! speaks for; today's groups are the failure domains and each agent speaks for itself.
+//! The size of a message does not depend on the size of the cluster, except for the cluster map,
+//! which grows with the number of entries and partitions, and the documents, of which only changed
+//! ones are sent.
 
 use std::time::Duration;
 
@@ -31,81 +31,84 @@
 use crate::request::request_journal::SettleAnswer;
 use crate::version::catalog::DocumentSet;
 
-/// A heartbeat of an agent, which asks for a grant too.
+/// Heartbeat of an agent to an entry, which is also a request for a grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentHeartbeat {
-    /// The worker.
+    /// Worker of the agent.
     pub worker: WorkerId,
-    /// The run of its agent.
+    /// Incarnation of the agent.
     pub incarnation: IncarnationId,
-    /// Position among the heartbeats of this run. The state in a heartbeat is no older than that in any
-    /// with a smaller number; heartbeats may overtake each other.
+    /// Sequence number within the incarnation. Heartbeats may arrive out of order; one with a
+    /// higher number never has older state than one with a lower number.
     pub number: u64,
-    /// Epoch of the worker's lease as the agent knows it; zero before it has one.
+    /// Epoch of the worker's lease as known to the agent; zero before it has a lease.
     pub epoch: LeaseEpoch,
     /// Failure domain of the worker.
     pub domain: DomainName,
-    /// Group that the heartbeat speaks for.
+    /// Group of workers that the heartbeat belongs to: currently the failure domain of the worker.
+    /// Each agent reports only on its own worker.
     pub group: DomainName,
     /// Address of the agent's internal listener.
     pub address: String,
-    /// Generation of the cluster map that the agent knows.
+    /// Generation of the cluster map known to the agent.
     pub map_generation: u64,
     /// Generation of the cluster map that the worker's lease relies on.
     pub lease_generation: u64,
-    /// Generation of the documents in force at the agent.
+    /// Generation of the documents in effect at the agent.
     pub generation: GenerationNumber,
-    /// Whether the agent may take non-idempotent requests.
+    /// Whether the agent may accept non-idempotent requests.
     pub registered: bool,
-    /// Its endpoints.
+    /// Reports on the endpoints that are announced to the agent.
     pub endpoints: Vec<EndpointReport>,
-    /// New samples of how long requests took beside which tasks; a bounded number.
+    /// New samples of response times with the tasks that ran on the worker at the time. Their
+    /// number is bounded.
     pub samples: Vec<InterferenceSample>,
 }
 
-/// A learned slowdown that an entry tells an agent.
+/// Learned slowdown of a service by tasks of one kind, which an entry sends to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindSlowdown {
-    /// The service.
+    /// Service that is slowed down.
     pub service: ServiceName,
-    /// Kind of the tasks beside it.
+    /// Kind of the tasks that run on the same worker.
     pub kind: KindName,
-    /// Expected slowdown by one task.
+    /// Expected slowdown caused by one task.
     pub slowdown: f64,
 }
 
-/// A heartbeat of an entry to another, which asks for a grant too.
+/// Heartbeat of an entry to another entry, which is also a request for a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHeartbeat {
-    /// The sender.
+    /// Entry that sends the heartbeat.
     pub member: EntryMember,
-    /// Generation of the cluster map that the sender knows.
+    /// Generation of the cluster map known to the sender.
     pub map_generation: u64,
-    /// Generation of the documents in force at the sender.
+    /// Generation of the documents in effect at the sender.
     pub generation: GenerationNumber,
 }
 
-/// The answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The answering entry's incarnation.
+    /// Incarnation of the entry that replies.
     pub incarnation: IncarnationId,
-    /// Whether it promises to take the sender's leases over not before the grant has passed.
+    /// Whether the entry gives a grant: a promise not to take over the sender's leases until the
+    /// grant has expired.
     pub granted: bool,
-    /// Generation of the documents in force at the entry.
+    /// Generation of the documents in effect at the entry.
     pub generation: GenerationNumber,
-    /// The cluster map, when the sender knows an older one.
+    /// Cluster map, if the sender has an older one.
     pub map: Option<ClusterMap>,
-    /// What is known of the pairs in the sender's samples.
+    /// Learned slowdowns for the pairs of service and task kind in the sender's samples.
     pub slowdowns: Vec<KindSlowdown>,
 }
 
-/// A new agent's request for its worker's lease.
+/// Request of a newly started agent for the lease of its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerClaim {
-    /// The worker.
+    /// Worker of the agent.
     pub worker: WorkerId,
-    /// The run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: IncarnationId,
     /// Failure domain of the worker.
     pub domain: DomainName,
@@ -113,69 +116,69 @@
     pub rack: String,
     /// Address of the agent's internal listener.
     pub address: String,
-    /// What the worker has.
+    /// Total resources of the worker.
     pub capacity: ResourceAmount,
 }
 
-/// The answer to a claim.
+/// Reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The lease is the agent's, which acts after the wait.
+    /// The agent holds the lease and may act under it after the wait.
     Claimed {
         /// Epoch of the lease.
         epoch: LeaseEpoch,
-        /// Time to wait from the receipt of this answer.
+        /// Time to wait, counted from the receipt of this reply.
         wait: Duration,
     },
-    /// Not now; ask again, or ask another entry.
+    /// The entry cannot give the lease now. The agent should retry with this or another entry.
     Later,
 }
 
-/// The answer to a request to join.
+/// Reply to an entry's request to join the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinReply {
-    /// The sender is a member of this map.
+    /// The requesting entry is a member of this map.
     Joined(ClusterMap),
-    /// Not now; this entry cannot change the map.
+    /// The entry cannot change the map now. The request should be retried.
     Later,
 }
 
-/// A request on its way through the system.
+/// Request of a caller, as forwarded between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The service.
+    /// Service that the request is for.
     pub service: ServiceName,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: String,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Time left until its deadline when this message was sent.
+    /// Time until the deadline, as of the sending of this message.
     pub time_left: Duration,
     /// Media type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Digest of the body, taken where it was received from the caller.
+    /// Digest of the body, computed by the entry that received it from the caller.
     pub digest: BodyDigest,
 }
 
-/// What a request's way through the system was like, for the burn report.
+/// Trace of a request's path through the system, used to attribute the burn of error budgets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestTrace {
-    /// Time that it waited for slots.
+    /// Time that the request waited for a slot.
     pub queued: Duration,
-    /// Worker of the endpoint that it was last sent to.
+    /// Worker of the endpoint to which the request was last sent.
     pub worker: Option<WorkerId>,
 }
 
-/// How a request ended, and its way.
+/// Outcome of a request, with its trace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TracedOutcome {
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// Its way.
+    /// Trace of the request.
     pub trace: RequestTrace,
 }
 
@@ -185,107 +188,111 @@
     }
 }
 
-/// An entry's order to run a request.
+/// Order of an entry to an agent to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchOrder {
-    /// The request.
+    /// Request to run.
     pub request: ServiceRequest,
-    /// The endpoint that shall run it.
+    /// Endpoint that runs the request.
     pub endpoint: EndpointId,
-    /// The run of the agent that the order is meant for.
+    /// Incarnation of the agent that the order is for.
     pub incarnation: IncarnationId,
-    /// Epoch at which the sender owns the id's partition; zero for idempotent requests.
+    /// Epoch under which the sender owns the partition of the request's id; zero for idempotent
+    /// requests.
     pub epoch: LeaseEpoch,
-    /// Time for which the agent remembers ids of the service.
+    /// Time for which the agent keeps the ids of the service's requests to detect duplicates.
     pub window: Duration,
 }
 
-/// The answer to an order.
+/// Reply to a dispatch order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchReply {
-    /// How the request ended.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// What the endpoint runs and may run; nothing when the agent does not know it.
+    /// Load of the endpoint; `None` if the agent does not know the endpoint.
     pub load: Option<EndpointLoad>,
 }
 
-/// A question about an id that an earlier owner may have run.
+/// Query of a partition's new owner whether an earlier owner has run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleQuery {
-    /// The id.
+    /// Id of the request in question.
     pub id: RequestId,
-    /// Epoch at which the asking entry owns the id's partition.
+    /// Epoch under which the sender owns the partition of the id.
     pub epoch: LeaseEpoch,
-    /// Time for which ids of the service are remembered.
+    /// Time for which the agent keeps the ids of the service's requests.
     pub window: Duration,
 }
 
-/// The queue of one team, as the entry that schedules it knows it.
+/// State of one team's queue, as known to the entry that schedules the team's jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamQueue {
-    /// The team.
+    /// Team that the queue belongs to.
     pub team: TeamName,
-    /// Tasks that wait for a worker.
+    /// Number of tasks that wait for a worker.
     pub queued: u32,
-    /// Those of them that are urgent.
+    /// Number of waiting tasks that are urgent.
     pub urgent: u32,
-    /// Tasks that are committed on a worker.
+    /// Number of tasks that are committed to a worker.
     pub running: u32,
-    /// How long the oldest waiting task has waited.
+    /// Time for which the oldest waiting task has waited.
     pub longest_wait: Duration,
 }
 
-/// What an entry tells of itself and of the processes it hears from.
+/// Status of one process: of the reporting entry itself, or of an entry or agent in contact with
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessReport {
     /// Name of the process.
     pub id: String,
-    /// Whether it is an entry, else an agent.
+    /// Whether the process is an entry; otherwise it is an agent.
     pub is_entry: bool,
-    /// Generation in force there when it was last heard of.
+    /// Generation of the documents in effect at the process at the last contact.
     pub generation: GenerationNumber,
-    /// Failure domain, as far as known.
+    /// Failure domain of the process, if known.
     pub domain: DomainName,
 }
 
-/// Services that entries offer to other processes of the system.
+/// RPC service of entries, called by agents and other entries.
 #[tarpc::service]
 pub trait EntryRpc {
-    /// Takes in an agent's heartbeat.
-    async fn agent_beat(beat: AgentHeartbeat) -> HeartbeatReply;
-    /// Takes in another entry's heartbeat.
-    async fn entry_beat(beat: EntryHeartbeat) -> HeartbeatReply;
-    /// The incarnation of the process at this address.
+    /// Processes the heartbeat of an agent.
+    async fn agent_beat(heartbeat: AgentHeartbeat) -> HeartbeatReply;
+    /// Processes the heartbeat of another entry.
+    async fn entry_beat(heartbeat: EntryHeartbeat) -> HeartbeatReply;
+    /// Returns the incarnation of the process that listens on this address.
     async fn identity() -> IncarnationId;
     /// Adds an entry to the cluster map.
     async fn join(member: EntryMember) -> JoinReply;
-    /// Gives a worker's lease to a new agent.
+    /// Assigns the lease of a worker to its newly started agent.
     async fn claim_worker(claim: WorkerClaim) -> ClaimReply;
-    /// Runs a request as the owner of its partition.
+    /// Handles a request as the owner of the partition of its id.
     async fn forward(request: ServiceRequest) -> TracedOutcome;
-    /// The cluster map as this entry knows it.
+    /// Returns the newest cluster map known to the entry.
     async fn cluster() -> ClusterMap;
-    /// The documents that changed after a generation, under the generation in force.
+    /// Returns the documents that changed after generation `since`, with the generation in effect.
     async fn documents(since: GenerationNumber) -> DocumentSet;
-    /// How long ago the entry heard of a worker's agent; nothing when it never did.
+    /// Returns the time since the entry's last contact with the agent of a worker; `None` if there
+    /// was none.
     async fn time_since_contact(worker: WorkerId) -> Option<Duration>;
-    /// The queues of the teams whose partitions this entry acts for.
+    /// Returns the queues of all teams in the partitions that the entry acts for.
     async fn team_queues() -> Vec<TeamQueue>;
-    /// Says that a job was submitted or cancelled.
+    /// Notifies the entry that a job was submitted or cancelled.
     async fn job_changed(job: JobId);
-    /// Says that tasks of these jobs ended on a worker.
+    /// Notifies the entry that tasks of these jobs ended on a worker.
     async fn tasks_ended(worker: WorkerId, jobs: Vec<JobId>);
 }
 
-/// Services that agents offer to entries.
+/// RPC service of agents, called by entries.
 #[tarpc::service]
 pub trait AgentRpc {
     /// Runs a request on an endpoint.
     async fn dispatch(order: DispatchOrder) -> DispatchReply;
-    /// Tells what became of an id, and refuses it from now on when it never came.
-    async fn settle(question: SettleQuery) -> SettleAnswer;
-    /// Says that the worker's row has changed.
+    /// Returns what is known about the run of a request. If it never ran, orders of earlier owners
+    /// to run it are rejected from now on.
+    async fn settle(query: SettleQuery) -> SettleAnswer;
+    /// Notifies the agent that the row of its worker has changed.
     async fn row_changed();
-    /// Says that documents of this generation are in force at the caller.
+    /// Notifies the agent that documents of this generation are in effect at the sender.
     async fn documents_changed(generation: GenerationNumber);
 }
