--- a/src/process/agent/dispatcher.rs
+++ b/src/process/agent/dispatcher.rs
@@ -10,7 +10,7 @@
 use crate::connection::announcement::SlotUse;
 use crate::connection::protocol::DispatchOrder;
 use crate::connection::protocol::DispatchReply;
-use crate::connection::protocol::SettleQuestion;
+use crate::connection::protocol::SettleQuery;
 use crate::ids::LeaseEpoch;
 use crate::ids::RequestId;
 use crate::process::agent::shared::AgentShared;
@@ -142,7 +142,7 @@
     let outcome = call_endpoint(shared, order, &target.address).await;
     let now = clock::now();
     let answered = is_good(&outcome).then_some(now - started);
-    let ended = SlotUse { in_flight: target.in_flight, answered };
+    let ended = SlotUse { in_flight: target.in_flight, response_time: answered };
     shared.endpoints().release_slot(&order.endpoint, ended, now);
     if let Some(time) = answered {
         shared.observer().on_answer(service, time, now);
@@ -189,7 +189,7 @@
 }
 
 /// Answers a new owner's question about an id.
-pub fn settle(shared: &AgentShared, question: &SettleQuestion) -> SettleAnswer {
+pub fn settle(shared: &AgentShared, question: &SettleQuery) -> SettleAnswer {
     let Some(time) = id_time(&question.id) else {
         return SettleAnswer::CannotTell;
     };
--- a/src/process/entry/worker_desk.rs
+++ b/src/process/entry/worker_desk.rs
@@ -106,7 +106,7 @@
         let limit = timing.agent_beat() * BEATS_TO_RECOVER;
         // An entry that has just started has heard of nobody yet.
         let is_early = clock::elapsed(self.started) < limit || now < self.next_poll_number;
-        if is_early || !self.shared.view().may_take_workers(now) {
+        if is_early || !self.shared.view().may_take_over_workers(now) {
             return Ok(BTreeSet::new());
         }
         self.next_poll_number = now + timing.agent_beat() / 2;
@@ -206,7 +206,7 @@
     ) -> Result<RowVersion, TableError> {
         let cluster_version = {
             let mut view = self.view();
-            if !view.may_take_workers(clock::now()) {
+            if !view.may_take_over_workers(clock::now()) {
                 return Err(TableError::Unavailable);
             }
             view.supersede(key, row.epoch);
@@ -235,7 +235,7 @@
         let others = members.iter().filter(|one| one.incarnation != self.member.incarnation);
         let asked = others.map(|member| async {
             let client = self.entry_connections.client(&member.address).await.ok()?;
-            client.heard_of(call_within(PEER_CALL), worker.to_string()).await.ok()?
+            client.time_since_contact(call_within(PEER_CALL), worker.to_string()).await.ok()?
         });
         let heard = join_all(asked).await;
         heard.into_iter().flatten().any(|ago| ago <= limit)
