--- a/src/process/planning/commit_writer.rs
+++ b/src/process/planning/commit_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a batch of the planner until its fate is known.
+//! Commits a transaction of the planner, with retries until its outcome is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,33 +15,38 @@
 use crate::process::logging::log_event;
 use crate::process::planning::rows::applied_version;
 
-/// Pause before a write is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a transaction is committed again.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What became of a write.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CommitFate {
-    /// It is stored under a version. Where the store itself said so, the owner's row was as expected
-    /// after this time, at which the call was sent.
+pub enum CommitOutcome {
+    /// The transaction was applied with this version. If the store confirmed it directly, the time
+    /// is when that call was sent: the ownership was still valid then. `None` if the response was
+    /// lost and the rows show that the transaction was applied.
     Stored(RowVersion, Option<Instant>),
-    /// A condition did not hold; the rows that the conditions named.
-    Refused(Vec<StoredRow>),
+    /// A condition did not hold. Contains the current rows that the conditions name.
+    Conflict(Vec<StoredRow>),
 }
 
-/// Repeats a write until it is known to be stored or impossible. Each row's condition makes a repeat, or
-/// a first try that is carried out late, harmless.
-pub async fn commit(store: Arc<dyn RowStore>, transaction: &RowTransaction) -> CommitFate {
+/// Commits a transaction, retrying until it is known to be applied or in conflict. A retry, or an
+/// earlier attempt that the store executes late, does no harm because of the conditions on row
+/// versions.
+pub async fn commit_until_settled(
+    store: Arc<dyn RowStore>,
+    transaction: &RowTransaction,
+) -> CommitOutcome {
     let mut is_ambiguous = false;
     let mut failures = 0_u32;
     loop {
-        let sent = clock::now();
+        let sent_at = clock::now();
         match store.commit(transaction).await {
-            Ok(version) => return CommitFate::Stored(version, Some(sent)),
+            Ok(version) => return CommitOutcome::Stored(version, Some(sent_at)),
             Err(RowError::Conflict { rows }) => {
                 let applied = applied_version(transaction, &rows).filter(|_| is_ambiguous);
                 return match applied {
-                    Some(version) => CommitFate::Stored(version, None),
-                    None => CommitFate::Refused(rows),
+                    Some(version) => CommitOutcome::Stored(version, None),
+                    None => CommitOutcome::Conflict(rows),
                 };
             }
             Err(error) => {
@@ -52,6 +57,6 @@
                 failures += 1;
             }
         }
-        tokio::time::sleep(REPEAT_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/src/process/planning/job_desk.rs
+++ b/src/process/planning/job_service.rs
@@ -1,4 +1,4 @@
-//! Takes callers' jobs: stores them, tells their states, cancels them.
+//! Implementation of [`JobGate`]: stores and cancels callers' jobs, and returns their states.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::process::planning::rows::decode;
 use crate::process::planning::rows::encode;
 use crate::process::planning::shared::PlannerShared;
-use crate::process::planning::store_access::ANSWER_RESERVE;
+use crate::process::planning::store_access::RESPONSE_RESERVE;
 use crate::process::planning::store_access::StoreAccess;
 use crate::version::queue_table::QueueTable;
 use crate::workflow::progress::JobEnd;
@@ -28,28 +28,29 @@
 use crate::workflow::progress::spec_digest;
 use crate::workflow::spec::WorkflowSpec;
 
-/// Pause before a call whose answer was lost is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a store call whose response was lost is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// The job desk of a planner process.
-pub struct JobDesk {
+/// The job service of a planner process. All processes offer it, whether or not they own planning.
+pub struct JobService {
     shared: Arc<PlannerShared>,
     planner: PlannerClient,
     store: StoreAccess,
 }
 
-impl JobDesk {
-    /// Opens the desk.
-    pub fn open(shared: Arc<PlannerShared>) -> JobDesk {
-        JobDesk {
+impl JobService {
+    /// Creates the service.
+    pub fn open(shared: Arc<PlannerShared>) -> JobService {
+        JobService {
             planner: PlannerClient::open(shared.clone()),
             store: StoreAccess::open(shared.clone()),
             shared,
         }
     }
 
-    /// Stores a job; a lost answer is settled by repeating the call, whose condition allows it once.
-    async fn store(
+    /// Inserts the row of a job. After a lost response the transaction is retried; since it is
+    /// conditional on the row not existing, it is applied once at most.
+    async fn insert_job(
         &self,
         job: &str,
         record: &JobRecord,
@@ -65,28 +66,28 @@
         loop {
             match self.store.commit(&transaction, deadline).await {
                 Ok(_) => return Ok(()),
-                Err(RowError::Conflict { rows }) => return check_same(&rows, record),
+                Err(RowError::Conflict { rows }) => return check_same_job(&rows, record),
                 Err(RowError::Refused { reason }) if !may_be_stored => {
                     return Err(JobRefusal::NotRun { reason });
                 }
                 Err(error) => {
                     may_be_stored |= !matches!(error, RowError::Refused { .. });
-                    if !self.may_repeat(deadline) {
+                    if !self.may_retry(deadline) {
                         return Err(JobRefusal::Unknown { reason: error.to_string() });
                     }
                 }
             }
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Whether a call without a known fate is worth another try: while the store is out of reach the
-    /// caller is told at once, and may ask again.
-    fn may_repeat(&self, deadline: CallDeadline) -> bool {
-        self.shared.is_store_near() && deadline.left() >= ANSWER_RESERVE + REPEAT_PAUSE
+    /// Whether to retry a call whose outcome is unknown. While the store is unreachable, the caller
+    /// gets the error at once and may call again.
+    fn may_retry(&self, deadline: CallDeadline) -> bool {
+        self.shared.is_store_reachable() && deadline.left() >= RESPONSE_RESERVE + RETRY_DELAY
     }
 
-    async fn read(
+    async fn read_job(
         &self,
         job: &str,
         deadline: CallDeadline,
@@ -95,11 +96,12 @@
         row.map_err(|error| JobRefusal::NotRun { reason: error.to_string() })
     }
 
-    /// Marks a job as cancelled. Says whether there is such a job.
+    /// Marks a job as cancelled, retrying after conflicts and lost responses. Returns whether the
+    /// job exists.
     async fn mark_cancelled(&self, job: &str, deadline: CallDeadline) -> Result<bool, JobRefusal> {
         let mut may_be_stored = false;
         loop {
-            let row = self.read(job, deadline).await;
+            let row = self.read_job(job, deadline).await;
             let outcome = match row {
                 Ok(row) => self.try_cancel(row, deadline).await,
                 Err(refusal) => Err(RowError::Refused { reason: refusal.to_string() }),
@@ -112,15 +114,16 @@
                 }
                 Err(error) => {
                     may_be_stored = true;
-                    if !self.may_repeat(deadline) {
+                    if !self.may_retry(deadline) {
                         return Err(JobRefusal::Unknown { reason: error.to_string() });
                     }
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
+    /// Attempts once to mark a job as cancelled, given its row. Returns whether the job exists.
     async fn try_cancel(
         &self,
         row: Option<StoredRow>,
@@ -142,7 +145,7 @@
     }
 }
 
-/// The outcome of a submission, as a metric's label.
+/// Label of a submission's outcome in metrics.
 fn outcome_label(result: &Result<(), JobRefusal>) -> &'static str {
     match result {
         Ok(()) => "accepted",
@@ -152,8 +155,9 @@
     }
 }
 
-/// A name that is taken belongs to the same job, or the submission is refused.
-fn check_same(rows: &[StoredRow], record: &JobRecord) -> Result<(), JobRefusal> {
+/// Accepts a submission whose name is taken if the stored job has the same specification, and
+/// refuses it otherwise.
+fn check_same_job(rows: &[StoredRow], record: &JobRecord) -> Result<(), JobRefusal> {
     let stored: Option<JobRecord> = rows.iter().find_map(decode);
     match stored {
         Some(stored) if stored.digest() != record.digest() => Err(JobRefusal::OtherJob),
@@ -162,11 +166,11 @@
 }
 
 #[async_trait]
-impl JobGate for JobDesk {
+impl JobGate for JobService {
     fn is_ready(&self) -> bool {
         !self.shared.is_stopping()
             && self.shared.queues.borrow().is_some()
-            && self.shared.is_store_near()
+            && self.shared.is_store_reachable()
     }
 
     fn queues(&self) -> Option<Arc<QueueTable>> {
@@ -185,12 +189,12 @@
     ) -> Result<(), JobRefusal> {
         let queue = spec.policy.queue.clone();
         let digest = spec_digest(&spec);
-        let begun = clock::now();
+        let started_at = clock::now();
         let record = JobRecord::Live { spec, cancelled: false };
-        let result = self.store(job, &record, deadline).await;
+        let result = self.insert_job(job, &record, deadline).await;
         let outcome = result.as_ref().map_or_else(ToString::to_string, |()| "accepted".to_string());
         let metrics = &self.shared.metrics;
-        metrics.latency.observe(clock::elapsed(begun).as_secs_f64());
+        metrics.latency.observe(clock::elapsed(started_at).as_secs_f64());
         metrics.outcomes.with_label_values(&[queue.as_str(), outcome_label(&result), ""]).inc();
         log_event(
             Level::Info,
@@ -208,7 +212,7 @@
         if let StatusResponse::Known(status) = self.planner.status(job).await {
             return Ok(Some(status));
         }
-        let row = self.read(job, deadline).await?;
+        let row = self.read_job(job, deadline).await?;
         Ok(row.as_ref().and_then(decode).map(|record| match record {
             JobRecord::Ended { end, .. } => JobStatus::Ended(end),
             JobRecord::Live { cancelled: true, .. } => JobStatus::Ended(JobEnd::Cancelled),
@@ -229,7 +233,7 @@
 
     fn pending(&self, queue: &str) -> u64 {
         let owned = self.shared.owned().as_ref().map(|owned| owned.planner.pending());
-        let pending = owned.unwrap_or_else(|| self.shared.view().pulse.pending.clone());
+        let pending = owned.unwrap_or_else(|| self.shared.view().heartbeat.pending.clone());
         pending.get(queue).copied().unwrap_or(0)
     }
 }
--- a/src/process/planning/node_link.rs
+++ b/src/process/planning/node_link.rs
@@ -1,4 +1,4 @@
-//! The planner's connection to one node agent: asks for its state, hands over orders.
+//! The planner's link to one node agent: polls its state, grants leases and sends orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,106 +28,110 @@
 use crate::workflow::grant::expired_by;
 use crate::workflow::grant::lease_duration;
 
-/// Time for a connection to be made.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait of an agent for news: leases are extended and silence is noticed that often.
+/// Maximum time that an agent may wait for changes before it answers a sync call. It bounds the
+/// time between two lease extensions, and between two checks that the agent still answers.
 const SYNC_WAIT: Duration = Duration::from_millis(400);
-/// Time beyond the wait within which an agent must answer, also when its host is five times slower.
-const ANSWER_SLACK: Duration = Duration::from_millis(900);
-/// Pause before a connection is made anew.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
+/// Time that an agent has for a response beyond the requested wait, sufficient also if its host is
+/// five times slower than usual.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
+/// Delay before a lost link is established again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// Orders on their way to one life of a runner.
+/// Orders that are sent to one runner instance in one call.
 #[derive(Clone, Debug)]
 pub struct OrderBatch {
-    /// The life.
+    /// The runner instance.
     pub instance: InstanceId,
-    /// Number of the orders.
+    /// Number of the batch, which increases from batch to batch.
     pub number: u64,
-    /// The orders.
+    /// Orders of the batch.
     pub orders: Vec<NodeOrder>,
 }
 
-/// What links tell the planner's loop.
+/// Event that a link sends to the planner's loop.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// An agent has reported.
+    /// An agent has reported its state.
     Report {
-        /// Its address.
+        /// Address of the agent.
         address: String,
-        /// What it said.
+        /// The report.
         report: Box<NodeReport>,
-        /// Whether it is the first report over its link that names a runner, or one before that.
+        /// Whether the link is new: true for all reports of a link up to and including the first
+        /// that names a runner.
         is_new_link: bool,
     },
-    /// An agent knows a later planner.
+    /// An agent refused a call because it has received one with this later stamp.
     Replaced(LinkStamp),
 }
 
-/// A running link; it ends when it is dropped.
+/// Handle of a link, whose task is aborted when the handle is dropped.
 #[derive(Debug)]
 pub struct NodeLink {
-    /// Takes orders.
+    /// Queue of the orders to send.
     pub orders: mpsc::UnboundedSender<OrderBatch>,
-    running: JoinHandle<()>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for NodeLink {
     fn drop(&mut self) {
-        self.running.abort();
+        self.task.abort();
     }
 }
 
 impl NodeLink {
-    /// Starts a link to the agent at an address.
+    /// Starts a link to the agent at `address`.
     pub fn spawn(
         shared: Arc<PlannerShared>,
         epoch: PlannerEpoch,
         address: String,
-        news: mpsc::UnboundedSender<LinkEvent>,
+        events: mpsc::UnboundedSender<LinkEvent>,
     ) -> NodeLink {
-        let (orders, parcels) = mpsc::unbounded_channel();
-        let worker = LinkWorker {
+        let (orders, batches) = mpsc::unbounded_channel();
+        let task = LinkTask {
             last_sent: 0,
             shared,
             address,
-            news,
+            events,
             stamp: LinkStamp { epoch, link: 0 },
-            order_lost: Arc::default(),
+            unanswered: Arc::default(),
         };
-        NodeLink { orders, running: tokio::spawn(worker.run(parcels)) }
+        NodeLink { orders, task: tokio::spawn(task.run(batches)) }
     }
 }
 
-struct LinkWorker {
-    /// Number of the last orders that were sent over the present link.
+struct LinkTask {
+    /// Number of the last batch that was sent over the current connection, or 0.
     last_sent: u64,
     shared: Arc<PlannerShared>,
     address: String,
-    news: mpsc::UnboundedSender<LinkEvent>,
+    events: mpsc::UnboundedSender<LinkEvent>,
     stamp: LinkStamp,
-    /// Tells that an order of the present link was not answered.
-    order_lost: Arc<Notify>,
+    /// Notified when a batch of orders sent over the current connection got no response.
+    unanswered: Arc<Notify>,
 }
 
-impl LinkWorker {
-    async fn run(mut self, mut parcels: mpsc::UnboundedReceiver<OrderBatch>) {
+impl LinkTask {
+    async fn run(mut self, mut batches: mpsc::UnboundedReceiver<OrderBatch>) {
         let mut was_up = true;
         loop {
             self.stamp.link += 1;
             self.last_sent = 0;
-            self.order_lost = Arc::default();
+            self.unanswered = Arc::default();
             let opened = clock::now();
             let reason = match self.connect().await {
                 Some(client) => {
-                    // What was ordered over earlier links is sent anew where it is still wanted.
-                    while parcels.try_recv().is_ok() {}
-                    self.serve(&client, &mut parcels).await
+                    // Drops orders queued for the earlier connection. The planner orders again what
+                    // it still needs.
+                    while batches.try_recv().is_ok() {}
+                    self.sync_until_lost(&client, &mut batches).await
                 }
                 None => "connect".to_string(),
             };
             let is_up = clock::elapsed(opened) > CONNECT_TIMEOUT;
-            // A link that cannot be made again and again is told once.
+            // Logs repeated connection failures only once.
             if was_up {
                 log_event(
                     Level::Warn,
@@ -136,7 +140,7 @@
                 );
             }
             was_up = is_up;
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 
@@ -147,11 +151,11 @@
         Some(NodeRpcClient::spawn(stream, Arc::default()))
     }
 
-    /// Asks again and again; gives the reason when the link has broken.
-    async fn serve(
+    /// Polls the agent and sends orders until the connection fails. Returns the reason.
+    async fn sync_until_lost(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
+        batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
     ) -> String {
         let mut call = SyncCall {
             stamp: self.stamp,
@@ -162,30 +166,30 @@
         };
         let mut is_new_link = true;
         loop {
-            let report = match self.exchange(client, parcels, call).await {
+            let report = match self.sync(client, batches, call).await {
                 Ok(report) => report,
                 Err(reason) => return reason,
             };
-            call = self.next_call(&report);
-            // An agent that has just started may not have heard of its runner yet.
+            call = self.next_sync_call(&report);
+            // The runner may not have registered yet with an agent that has just started.
             let names_runner = report.runner.is_some();
             let report = Box::new(report);
-            let news = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
+            let event = LinkEvent::Report { address: self.address.clone(), report, is_new_link };
             is_new_link &= !names_runner;
-            if self.news.send(news).is_err() {
+            if self.events.send(event).is_err() {
                 return "planning ended".to_string();
             }
         }
     }
 
-    /// Sends one call, and orders while it waits.
-    async fn exchange(
+    /// Sends one sync call, and orders until its response arrives.
+    async fn sync(
         &mut self,
         client: &NodeRpcClient,
-        parcels: &mut mpsc::UnboundedReceiver<OrderBatch>,
+        batches: &mut mpsc::UnboundedReceiver<OrderBatch>,
         call: SyncCall,
     ) -> Result<NodeReport, String> {
-        let limit = call.wait + ANSWER_SLACK;
+        let limit = call.wait + RESPONSE_MARGIN;
         let answer = client.sync(call_within(limit), call);
         tokio::pin!(answer);
         let limit = tokio::time::sleep(limit);
@@ -195,40 +199,41 @@
                 answer = &mut answer => return match answer {
                     Ok(Ok(report)) => Ok(report),
                     Ok(Err(stale)) => {
-                        // A planner that has ended needs no news.
-                        let _ = self.news.send(LinkEvent::Replaced(stale.newest));
+                        // The receiver is closed if planning has ended.
+                        let _ = self.events.send(LinkEvent::Replaced(stale.newest));
                         Err(stale.to_string())
                     }
                     Err(error) => Err(CallError::from(error).to_string()),
                 },
-                Some(parcel) = parcels.recv() => self.send(client, parcel),
-                // The agent counts orders in their sequence: one that is missing holds up all later
-                // ones, until a new link begins the sequence anew.
-                () = self.order_lost.notified() => return Err("an order was not answered".to_string()),
-                () = &mut limit => return Err("no answer in time".to_string()),
+                Some(batch) = batches.recv() => self.send_orders(client, batch),
+                // The agent acknowledges batches in sequence, so a missing one holds up the
+                // acknowledgement of all later ones. A new link starts a new sequence.
+                () = self.unanswered.notified() => return Err("orders got no response".to_string()),
+                () = &mut limit => return Err("no response before the timeout".to_string()),
             }
         }
     }
 
-    fn send(&mut self, client: &NodeRpcClient, parcel: OrderBatch) {
+    fn send_orders(&mut self, client: &NodeRpcClient, batch: OrderBatch) {
         let call = OrderCall {
             stamp: self.stamp,
-            instance: parcel.instance,
-            number: parcel.number,
-            previous: std::mem::replace(&mut self.last_sent, parcel.number),
-            orders: parcel.orders,
+            instance: batch.instance,
+            number: batch.number,
+            previous: std::mem::replace(&mut self.last_sent, batch.number),
+            orders: batch.orders,
         };
-        let (client, order_lost) = (client.clone(), self.order_lost.clone());
+        let (client, unanswered) = (client.clone(), self.unanswered.clone());
         tokio::spawn(async move {
-            // That the agent obeys a later link is told to the calls that ask for its state as well.
-            if client.order(call_within(ANSWER_SLACK), call).await.is_err() {
-                order_lost.notify_one();
+            // A refusal because of a later link needs no handling here: the sync call gets it, too.
+            if client.order(call_within(RESPONSE_MARGIN), call).await.is_err() {
+                unanswered.notify_one();
             }
         });
     }
 
-    /// The next call, with an extension of leases that counts from the report's own time.
-    fn next_call(&self, report: &NodeReport) -> SyncCall {
+    /// Builds the next sync call, with a lease extension that starts at the agent's time in
+    /// `report`.
+    fn next_sync_call(&self, report: &NodeReport) -> SyncCall {
         let received = clock::now();
         let instance = report.runner.as_ref().map(|runner| runner.instance.clone());
         let mut call = SyncCall {
@@ -240,7 +245,7 @@
         };
         let mut owned = self.shared.owned();
         if let (Some(owned), Some(instance)) = (owned.as_mut(), instance) {
-            let span = lease_duration(owned.proof, received);
+            let span = lease_duration(owned.confirmed_at, received);
             owned.planner.on_grant(&instance, expired_by(received, span));
             call.grant = Some(LeaseGrant { since: report.now, span });
             call.last_acked_end = owned.planner.last_acked_end(&instance);
--- a/src/request/request_journal.rs
+++ b/src/request/request_journal.rs
@@ -1,8 +1,9 @@
-//! What an agent remembers of the non-idempotent requests it was sent.
+//! Journal of the non-idempotent requests that were dispatched to an agent.
 //!
-//! The journal is what makes "at most once" hold when the owner of a partition changes: a new owner
-//! asks the agents, and an agent that never saw an id writes a tombstone with the new owner's epoch.
-//! From then on it refuses the id to owners of earlier epochs; the new owner may run it once.
+//! The journal ensures that a request runs at most once when the owner of its partition changes.
+//! The new owner first settles the request id: it asks the agents whether an earlier owner had it
+//! run. An agent that has no entry for the id records a tombstone with the new owner's epoch. From
+//! then on it refuses the id to owners of earlier epochs, while the new owner may dispatch it once.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 
 use crate::ids::LeaseEpoch;
 use crate::ids::RequestId;
-use crate::request::id_memory::IdMemory;
+use crate::request::expiring_id_map::ExpiringIdMap;
 use crate::request::outcome::RequestOutcome;
 use crate::request::outcome::UnknownReason;
 use crate::request::request_id::MAX_CLOCK_SKEW;
@@ -23,49 +24,50 @@
     Tombstone(LeaseEpoch),
 }
 
-/// What to do with a dispatch.
+/// What to do with a dispatched request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalDecision {
-    /// It is new: run it, then call [`RequestJournal::end`].
+    /// The id is new: run the request, then call [`RequestJournal::end`].
     Run,
-    /// It is being run: wait for its outcome.
+    /// The request is running: wait for its outcome.
     Wait,
-    /// It ended before, like this.
+    /// The request has already ended with this outcome.
     Ended(RequestOutcome),
-    /// A later owner has settled it; the sender of this order must not run it.
+    /// A later owner has settled the id: do not run the request.
     Refuse,
 }
 
-/// An agent's word on an id that may have been run by an earlier owner.
+/// Answer of an agent to a new owner that settles an id, which an earlier owner may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettleAnswer {
-    /// Never seen, and from now on refused to earlier owners.
+    /// The id was never run here, and is from now on refused to earlier owners.
     NeverRun,
-    /// Still at work.
+    /// The request is running.
     Running,
-    /// It ended like this.
+    /// The request ended with this outcome.
     Ended(RequestOutcome),
-    /// This agent's memory does not reach back to the id.
+    /// The journal does not reach back to the creation of the id.
     CannotTell,
-    /// This agent has just started and does not know yet what the run before it left.
+    /// The agent has just started and has not yet read the journal of its previous run.
     NotReady,
 }
 
-/// What one run of an agent passes on to the next when it stops gracefully.
+/// Journal that an agent stores at a graceful stop, to be read by the next run of the agent.
 ///
-/// Answers are left out: the next run only has to know that an id was run.
+/// Responses are left out: the next run only has to know that an id was run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalHandover {
-    /// Epoch of the lease under which the journal was written.
+    /// Epoch of the worker lease under which the journal was written.
     pub epoch: LeaseEpoch,
-    /// Wall-clock time from which every dispatch is remembered.
-    pub remembers_since: Duration,
-    /// Ids that were run, each with the time at which it may be forgotten.
+    /// Wall-clock time from which the journal contains every dispatch.
+    #[serde(rename = "remembers_since")]
+    pub complete_since: Duration,
+    /// Ids that were run, each with its expiry time.
     pub ids: Vec<(RequestId, Duration)>,
 }
 
 impl JournalHandover {
-    /// What the run that left this would have answered about an id whose own time is `id_time`.
+    /// Answer that the previous run would have given about an id created at `id_time`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -80,7 +82,7 @@
     pub fn answer(&self, id: &RequestId, id_time: Duration) -> SettleAnswer {
         if self.ids.iter().any(|(known, _)| known == id) {
             SettleAnswer::Ended(RequestOutcome::Unknown(UnknownReason::AnswerLost))
-        } else if reaches_back(self.remembers_since, id_time) {
+        } else if is_complete_for(self.complete_since, id_time) {
             SettleAnswer::NeverRun
         } else {
             SettleAnswer::CannotTell
@@ -88,23 +90,23 @@
     }
 }
 
-/// Whether a memory that begins at `since` holds every order for an id whose own time is `id_time`:
-/// an id is accepted up to one skew ahead of an entry's clock, which may itself be one skew ahead
-/// of the agent's.
-fn reaches_back(since: Duration, id_time: Duration) -> bool {
+/// Whether a journal that is complete from `since` contains every dispatch of an id created at
+/// `id_time`. An id is accepted up to one clock skew ahead of an entry's clock, which itself may be
+/// one clock skew ahead of the agent's.
+fn is_complete_for(since: Duration, id_time: Duration) -> bool {
     id_time >= since + 2 * MAX_CLOCK_SKEW
 }
 
-/// Ids of non-idempotent requests at one agent.
+/// Journal of the non-idempotent requests at one agent.
 #[derive(Debug, Default)]
 pub struct RequestJournal {
-    memory: IdMemory<JournalState>,
-    /// Wall-clock time from which every dispatch is remembered.
-    remembers_since: Duration,
+    ids: ExpiringIdMap<JournalState>,
+    /// Wall-clock time from which the journal contains every dispatch.
+    complete_since: Duration,
 }
 
 impl RequestJournal {
-    /// An empty journal that can vouch for everything sent to it after `now`.
+    /// Creates an empty journal that is complete from `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -114,10 +116,10 @@
     /// assert_eq!(RequestJournal::new(Duration::ZERO).len(), 0);
     /// ```
     pub fn new(now: Duration) -> RequestJournal {
-        RequestJournal { memory: IdMemory::default(), remembers_since: now }
+        RequestJournal { ids: ExpiringIdMap::default(), complete_since: now }
     }
 
-    /// Says that every dispatch from `time` on is remembered here, and none before for certain.
+    /// Marks the journal as complete only from `time` on: an earlier dispatch may be missing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -127,10 +129,10 @@
     /// RequestJournal::new(Duration::ZERO).set_complete_from(Duration::from_secs(1));
     /// ```
     pub fn set_complete_from(&mut self, time: Duration) {
-        self.remembers_since = self.remembers_since.max(time);
+        self.complete_since = self.complete_since.max(time);
     }
 
-    /// Says that no run before this one ever took an order, so that every id is vouched for.
+    /// Marks the journal as complete for all time: no earlier run of the agent accepted a dispatch.
     ///
     /// ```
     /// use std::time::Duration;
@@ -140,10 +142,10 @@
     /// RequestJournal::new(Duration::from_secs(9)).set_complete();
     /// ```
     pub fn set_complete(&mut self) {
-        self.remembers_since = Duration::ZERO;
+        self.complete_since = Duration::ZERO;
     }
 
-    /// What the next run of the agent has to know; nothing may be begun here any more.
+    /// Exports the journal for the next run of the agent; no request may begin here afterwards.
     ///
     /// ```
     /// use std::time::Duration;
@@ -153,17 +155,17 @@
     /// assert!(RequestJournal::new(Duration::ZERO).export_handover(1).ids.is_empty());
     /// ```
     pub fn export_handover(&self, epoch: LeaseEpoch) -> JournalHandover {
-        let ran = self.memory.iter().filter(|(_, state, _)| {
+        let ran = self.ids.iter().filter(|(_, state, _)| {
             matches!(state, JournalState::Running | JournalState::Ended(_))
         });
         JournalHandover {
             epoch,
-            remembers_since: self.remembers_since,
+            complete_since: self.complete_since,
             ids: ran.map(|(id, _, expires_at)| (*id, expires_at)).collect(),
         }
     }
 
-    /// Takes over what the run just before this one knew, before anything is begun here.
+    /// Imports the journal of the previous run; has to be called before any request begins here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -174,16 +176,17 @@
     /// RequestJournal::new(Duration::from_secs(9)).import_handover(before);
     /// ```
     pub fn import_handover(&mut self, handover: JournalHandover) {
-        self.remembers_since = handover.remembers_since;
+        self.complete_since = handover.complete_since;
         let outcome = RequestOutcome::Unknown(UnknownReason::AnswerLost);
         for (id, expires_at) in handover.ids {
-            if self.memory.get(&id).is_none() {
-                self.memory.set(id, JournalState::Ended(outcome.clone()), expires_at);
+            if self.ids.get(&id).is_none() {
+                self.ids.set(id, JournalState::Ended(outcome.clone()), expires_at);
             }
         }
     }
 
-    /// Looks up an order of the owner at `epoch` and marks it as running when it is new.
+    /// Looks up a request dispatched by the owner at `epoch`, and records it as running if it is
+    /// new.
     ///
     /// ```
     /// use std::time::Duration;
@@ -202,18 +205,18 @@
         epoch: LeaseEpoch,
         expires_at: Duration,
     ) -> JournalDecision {
-        match self.memory.get(&id) {
+        match self.ids.get(&id) {
             Some(JournalState::Running) => JournalDecision::Wait,
             Some(JournalState::Ended(outcome)) => JournalDecision::Ended(outcome.clone()),
             Some(JournalState::Tombstone(newest)) if epoch < *newest => JournalDecision::Refuse,
             Some(JournalState::Tombstone(_)) | None => {
-                self.memory.set(id, JournalState::Running, expires_at);
+                self.ids.set(id, JournalState::Running, expires_at);
                 JournalDecision::Run
             }
         }
     }
 
-    /// Records how a dispatch ended; one that was not run is forgotten.
+    /// Records the outcome of a request; one that was not run is removed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -230,14 +233,15 @@
     /// ```
     pub fn end(&mut self, id: RequestId, outcome: &RequestOutcome) {
         if let RequestOutcome::NotRun { .. } = outcome {
-            self.memory.remove(&id);
+            self.ids.remove(&id);
         } else {
-            self.memory.change(&id, JournalState::Ended(outcome.clone()));
+            self.ids.change(&id, JournalState::Ended(outcome.clone()));
         }
     }
 
-    /// Answers the question of the owner at `epoch` about an id whose own time is `id_time`; an id
-    /// that was never seen gets a tombstone. All times are wall-clock times since the Unix epoch.
+    /// Settles an id created at `id_time` for the owner at `epoch`: returns whether it was run
+    /// here, and records a tombstone if the journal has no entry for it. All times are wall-clock
+    /// times since the Unix epoch.
     ///
     /// ```
     /// use std::time::Duration;
@@ -259,21 +263,21 @@
         id_time: Duration,
         expires_at: Duration,
     ) -> SettleAnswer {
-        let epoch = match self.memory.get(&id) {
+        let epoch = match self.ids.get(&id) {
             Some(JournalState::Running) => return SettleAnswer::Running,
             Some(JournalState::Ended(outcome)) => return SettleAnswer::Ended(outcome.clone()),
             Some(JournalState::Tombstone(newest)) => epoch.max(*newest),
             None => epoch,
         };
-        self.memory.set(id, JournalState::Tombstone(epoch), expires_at);
-        if reaches_back(self.remembers_since, id_time) {
+        self.ids.set(id, JournalState::Tombstone(epoch), expires_at);
+        if is_complete_for(self.complete_since, id_time) {
             SettleAnswer::NeverRun
         } else {
             SettleAnswer::CannotTell
         }
     }
 
-    /// Forgets ids whose time has come; running ones stay.
+    /// Removes expired ids, except for those that are running.
     ///
     /// ```
     /// use std::time::Duration;
@@ -283,10 +287,10 @@
     /// RequestJournal::new(Duration::ZERO).remove_expired(Duration::from_secs(1));
     /// ```
     pub fn remove_expired(&mut self, now: Duration) {
-        self.memory.remove_expired(now, |state| matches!(state, JournalState::Running));
+        self.ids.remove_expired(now, |state| matches!(state, JournalState::Running));
     }
 
-    /// Number of ids that are remembered.
+    /// Number of ids in the journal.
     ///
     /// ```
     /// use std::time::Duration;
@@ -296,10 +300,10 @@
     /// assert_eq!(RequestJournal::new(Duration::ZERO).len(), 0);
     /// ```
     pub fn len(&self) -> usize {
-        self.memory.len()
+        self.ids.len()
     }
 
-    /// Whether no id is remembered.
+    /// Whether the journal contains no ids.
     ///
     /// ```
     /// use std::time::Duration;
@@ -309,7 +313,7 @@
     /// assert!(RequestJournal::new(Duration::ZERO).is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
-        self.memory.is_empty()
+        self.ids.is_empty()
     }
 }
 
@@ -320,7 +324,7 @@
     use super::*;
 
     #[test]
-    fn a_restarted_agent_cannot_vouch_for_older_ids() {
+    fn a_restarted_agent_cannot_tell_about_older_ids() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
         let id = RequestId::now_v7();
         let answer =
@@ -330,7 +334,7 @@
     }
 
     #[test]
-    fn the_first_run_of_all_vouches_for_every_id() {
+    fn the_first_run_settles_ids_of_any_age() {
         let mut journal = RequestJournal::new(Duration::from_secs(100));
         journal.set_complete();
         let id = RequestId::now_v7();
@@ -349,7 +353,7 @@
     }
 
     #[test]
-    fn the_next_run_vouches_for_what_was_handed_over() {
+    fn the_next_run_settles_ids_of_the_imported_journal() {
         let mut before = RequestJournal::new(Duration::ZERO);
         let (ran, fresh) = (RequestId::now_v7(), RequestId::now_v7());
         before.begin(ran, 1, Duration::from_secs(90));
@@ -362,7 +366,7 @@
     }
 
     #[test]
-    fn a_tombstone_is_kept_for_its_window() {
+    fn a_tombstone_is_kept_until_it_expires() {
         let mut journal = RequestJournal::new(Duration::ZERO);
         let id = RequestId::now_v7();
         journal.settle(id, 2, Duration::from_secs(20), Duration::from_secs(30));
--- a/src/workflow/placement.rs
+++ b/src/workflow/placement.rs
@@ -102,8 +102,8 @@
 /// use std::time::Instant;
 ///
 /// use greengagearch::process::suspicion::WorkerSuspicion;
-/// use greengagearch::workflow::pair_interference::AdviceCache;
-/// use greengagearch::workflow::interference::PairInterferenceModel;
+/// use greengagearch::workflow::advice_cache::AdviceCache;
+/// use greengagearch::workflow::pair_interference::PairInterferenceModel;
 /// use greengagearch::workflow::placement::PlacementRequest;
 /// use greengagearch::workflow::placement::PlacementView;
 /// use greengagearch::workflow::placement::RiskLimit;
@@ -141,8 +141,8 @@
 pub fn choose(request: &PlacementRequest<'_>, view: &PlacementView<'_>) -> Option<InstanceId> {
     let mut best: Option<(f64, &InstanceId)> = None;
     for (instance, worker) in view.inventory.iter() {
-        let room = worker.available_to(request.task, view.now);
-        let has_capacity = room.contains(&request.step.reserved_resources());
+        let available = worker.available_to(request.task, view.now);
+        let has_capacity = available.contains(&request.step.reserved_resources());
         if !has_capacity || !is_eligible(request, view, instance, worker) {
             continue;
         }
@@ -219,7 +219,7 @@
     if !step.preferred_rack.is_empty() && !status.labels.contains(&step.preferred_rack) {
         cost += OFF_RACK_COST;
     }
-    if request.failed_on.iter().any(|avoided| avoided == instance) {
+    if request.failed_on.iter().any(|failed| failed == instance) {
         cost += FAILED_BEFORE_COST;
     }
     if step.long_running && view.being_emptied == Some(instance) {
@@ -252,18 +252,18 @@
     view: &PlacementView<'_>,
     worker: &WorkerEntry,
 ) -> Option<f64> {
-    let room = worker.best_effort_capacity();
+    let available = worker.best_effort_capacity();
     let requested = request.step.resources.millicores as f64;
     let demand = worker.best_effort_demand()
         + worker.reservations.best_effort_millicores(request.task, view.now);
-    let is_alone = demand == 0.0 && room > 0.0;
-    if room - demand < requested * MIN_BEST_EFFORT_SHARE
-        && !is_alone
+    let is_unused = demand == 0.0 && available > 0.0;
+    if available - demand < requested * MIN_BEST_EFFORT_SHARE
+        && !is_unused
         && request.risk != RiskLimit::Any
     {
         return None;
     }
-    let load = (demand + requested) / room.max(1.0);
+    let load = (demand + requested) / available.max(1.0);
     if !worker.is_serving() {
         return Some(load);
     }
--- a/src/workflow/planner_reports.rs
+++ b/src/workflow/planner_reports.rs
@@ -35,22 +35,22 @@
 
 /// Returns whether the traits of a run differ enough from those sent before to be sent again.
 fn has_changed(run: &AssignedRun, new: &TaskTraits) -> bool {
-    let Some(told) = &run.sent_traits else {
+    let Some(sent) = &run.sent_traits else {
         return true;
     };
-    let known = |serving: &str| told.effects.iter().find(|effect| effect.serving == serving);
+    let sent_effect = |serving: &str| sent.effects.iter().find(|effect| effect.serving == serving);
     let is_different = |effect: &ImageInterference| {
-        known(&effect.serving).is_none_or(|old| {
+        sent_effect(&effect.serving).is_none_or(|old| {
             old.added_permille.abs_diff(effect.added_permille) >= MIN_SENT_CHANGE_PERMILLE
         })
     };
-    told.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_different)
+    sent.idle_tail_ms != new.idle_tail_ms || new.effects.iter().any(is_different)
 }
 
 /// For each rejected run of a snapshot, whether the snapshot shows the run all the same.
-fn rejections_shown(look: &RunnerSnapshot) -> Vec<bool> {
-    let runs = look.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
-    runs.map(|key| look.lists(&key)).collect()
+fn rejections_shown(snapshot: &RunnerSnapshot) -> Vec<bool> {
+    let runs = snapshot.rejected.iter().map(|rejected| (rejected.task.clone(), rejected.run));
+    runs.map(|key| snapshot.lists(&key)).collect()
 }
 
 /// Updates a worker's runs from a snapshot. Returns the runs that the snapshot does not show
@@ -66,7 +66,7 @@
     let mut changed = false;
     for (key, run) in &mut worker.assigned {
         match present.remove(key) {
-            Some(seen) => changed |= run.on_report(seen, now) && run.best_effort,
+            Some(report) => changed |= run.on_report(report, now) && run.best_effort,
             None if run.order.is_some_and(|order| order <= orders_seen || resync) => {
                 absent.push(key.clone());
             }
@@ -117,16 +117,16 @@
         for (task, worker) in given_up {
             self.give_up_task(task, worker);
         }
-        if let (Some(status), Some(look)) = (report.runner, report.snapshot) {
-            self.on_snapshot(&status.instance, look);
+        if let (Some(status), Some(snapshot)) = (report.runner, report.snapshot) {
+            self.on_snapshot(&status.instance, snapshot);
         }
     }
 
     fn record_status(&mut self, status: &RunnerStatus, has_former: bool, is_new_link: bool) {
         let worker = self.inventory.entry(&status.instance, self.inherited_lease_end);
         if has_former && worker.status.is_none() {
-            // Calls meant for a previous instance may have extended a lease of the new one
-            // unnoticed.
+            // Grants meant for a former instance may have extended a lease of the new one without
+            // the planner knowing.
             worker.lease_end = worker.lease_end.max(expired_by(self.now, MAX_LEASE));
         }
         worker.status = Some(status.clone());
@@ -134,23 +134,23 @@
         worker.resync |= is_new_link;
     }
 
-    /// Transfers runs assigned to previous instances that the current instance shows as its own,
+    /// Transfers runs assigned to former instances that the current instance shows as its own,
     /// since it has carried out their start orders.
     fn adopt_runs(&mut self, report: &NodeReport, instance: &str) {
-        let Some(look) = &report.snapshot else {
+        let Some(snapshot) = &report.snapshot else {
             return;
         };
         for former in &report.former {
-            for key in self.runs_shown(former, look) {
+            for key in self.runs_shown(former, snapshot) {
                 self.adopt_run(&key, former, instance);
             }
         }
     }
 
     /// Runs assigned to an instance that a snapshot shows.
-    fn runs_shown(&self, life: &str, look: &RunnerSnapshot) -> Vec<RunKey> {
-        let runs = self.inventory.get(life).into_iter().flat_map(|worker| worker.assigned.keys());
-        runs.filter(|key| look.lists(key)).cloned().collect()
+    fn runs_shown(&self, former: &str, snapshot: &RunnerSnapshot) -> Vec<RunKey> {
+        let runs = self.inventory.get(former).into_iter().flat_map(|worker| worker.assigned.keys());
+        runs.filter(|key| snapshot.lists(key)).cloned().collect()
     }
 
     fn adopt_run(&mut self, key: &RunKey, former: &str, instance: &str) {
@@ -181,25 +181,25 @@
         }
     }
 
-    fn on_snapshot(&mut self, instance: &str, look: RunnerSnapshot) {
-        let shown = rejections_shown(&look);
-        self.on_ends(instance, look.ended);
-        for (rejected, shown) in look.rejected.iter().zip(shown) {
+    fn on_snapshot(&mut self, instance: &str, snapshot: RunnerSnapshot) {
+        let shown = rejections_shown(&snapshot);
+        self.on_ends(instance, snapshot.ended);
+        for (rejected, shown) in snapshot.rejected.iter().zip(shown) {
             self.on_rejected(instance, rejected, shown);
         }
-        let present = look.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
+        let present = snapshot.present.into_iter().map(|run| ((run.task.clone(), run.run), run));
         let present: BTreeMap<RunKey, PresentRun> = present.collect();
         self.stop_unknown_runs(instance, &present);
         let Some(worker) = self.inventory.get_mut(instance) else {
             return;
         };
         let resync = std::mem::take(&mut worker.resync);
-        let absent = update_runs(worker, present, look.orders_seen, resync, self.now);
+        let absent = update_runs(worker, present, snapshot.orders_seen, resync, self.now);
         self.interference.learn(worker, self.now);
-        let works = worker.assigned.iter().filter(|(_, run)| !run.long_running);
-        let works = works.filter_map(|(key, run)| Some((key.0.clone(), run.progress?)));
-        let works: Vec<(TaskName, RunProgress)> = works.collect();
-        self.learn_durations(&works);
+        let progress = worker.assigned.iter().filter(|(_, run)| !run.long_running);
+        let progress = progress.filter_map(|(key, run)| Some((key.0.clone(), run.progress?)));
+        let progress: Vec<(TaskName, RunProgress)> = progress.collect();
+        self.learn_durations(&progress);
         self.send_changed_traits(instance);
         self.clear_surviving_tasks(instance);
         for key in absent {
@@ -224,11 +224,11 @@
         }
     }
 
-    fn learn_durations(&mut self, works: &[(TaskName, RunProgress)]) {
-        for (name, work) in works {
+    fn learn_durations(&mut self, progress: &[(TaskName, RunProgress)]) {
+        for (name, done) in progress {
             if let Some(entry) = self.jobs.get_mut(&name.job) {
-                let span = (f64::from(work.from_percent), f64::from(work.to_percent));
-                entry.forecast.record_progress(name.into(), span, work.worked_ms);
+                let span = (f64::from(done.from_percent), f64::from(done.to_percent));
+                entry.forecast.record_progress(name.into(), span, done.worked_ms);
             }
         }
     }
@@ -259,8 +259,8 @@
             self.decisions.push(PlanDecision::WorkerSuspected { worker, task });
         }
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            let place = (name.occurrence, name.step, name.index);
-            entry.failed_on.entry(place).or_default().push(instance.to_string());
+            let position = (name.occurrence, name.step, name.index);
+            entry.failed_on.entry(position).or_default().push(instance.to_string());
         }
     }
 
@@ -328,9 +328,10 @@
         let Some(worker) = self.inventory.get(instance) else {
             return;
         };
-        let known = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
-        let traits: Vec<(RunKey, TaskTraits)> =
-            known.filter_map(|(key, _)| Some((key.clone(), self.traits(&key.0)?))).collect();
+        let reported = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
+        let traits: Vec<(RunKey, TaskTraits)> = reported
+            .filter_map(|(key, _)| Some((key.clone(), self.task_traits(&key.0)?)))
+            .collect();
         let stopping: Vec<RunKey> = worker
             .assigned
             .iter()
@@ -352,11 +353,11 @@
         if worker.traits_sent_at.is_some_and(is_recent) {
             return;
         }
-        let known = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
-        let relevant = known.filter(|(_, run)| run.best_effort || run.target_ms > 0);
+        let reported = worker.assigned.iter().filter(|(_, run)| run.last_report.is_some());
+        let relevant = reported.filter(|(_, run)| run.best_effort || run.target_ms > 0);
         let mut changed: Vec<(RunKey, TaskTraits)> = Vec::new();
         for (key, run) in relevant {
-            if let Some(traits) = self.traits(&key.0).filter(|new| has_changed(run, new)) {
+            if let Some(traits) = self.task_traits(&key.0).filter(|new| has_changed(run, new)) {
                 changed.push((key.clone(), traits));
             }
         }
--- a/src/workflow/worker_inventory.rs
+++ b/src/workflow/worker_inventory.rs
@@ -116,7 +116,7 @@
             assigned_at: now,
             last_report: None,
             first_reported_at: None,
-            begun_at: None,
+            started_at: None,
             sent_traits: None,
             throttled_since: None,
             stopping: false,
@@ -151,7 +151,7 @@
                     image: run.image.clone(),
                     started_at,
                     ended_at: now,
-                    pace_percent: run.last_report.as_ref().map_or(0, |seen| seen.pace_percent),
+                    pace_percent: run.last_report.as_ref().map_or(0, |report| report.pace_percent),
                 }
             }));
         }
@@ -176,13 +176,13 @@
     /// assert_eq!(inventory.get("i-1@2").unwrap().assigned.len(), 1);
     /// ```
     pub fn transfer(&mut self, from: &str, to: &str, key: &RunKey) -> bool {
-        let Some(before) = self.workers.get_mut(from) else {
+        let Some(former) = self.workers.get_mut(from) else {
             return false;
         };
-        let Some(mut run) = before.assigned.remove(key) else {
+        let Some(mut run) = former.assigned.remove(key) else {
             return false;
         };
-        before.used = before.used.minus(&run.reserved);
+        former.used = former.used.minus(&run.reserved);
         let was_stopping = std::mem::replace(&mut run.stopping, false);
         if let Some(worker) = self.workers.get_mut(to) {
             worker.used = worker.used.plus(&run.reserved);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -143,7 +143,9 @@
         let joiner = self.member(entry);
         let change = match through {
             Some(member) => self.view(member)?.plan_join(joiner).ok_or("no change possible")?,
-            None if unaided => MapChange { version: self.version, map: self.map.with_only(joiner) },
+            None if unaided => {
+                MapChange { version: self.version, map: self.map.with_sole_member(joiner) }
+            }
             None => MapChange { version: self.version, map: self.map.with_member(joiner) },
         };
         self.write(through.unwrap_or(entry), change, false)?;
@@ -163,7 +165,7 @@
         let to_run = self.runs[to];
         let from_run = self.runs.get(from).copied();
         let member = self.view(to)?;
-        from_run.into_iter().for_each(|run| member.on_heard(run, now));
+        from_run.into_iter().for_each(|run| member.on_contact(run, now));
         let granted = member.may_grant(&lease, epoch, relied);
         let map = member.map().clone();
         if is_agent {
@@ -176,7 +178,7 @@
             }
         } else {
             let view = self.view(from)?;
-            view.on_heard(to_run, now);
+            view.on_contact(to_run, now);
             view.adopt(map, now);
             if granted {
                 view.on_grant(to_run, now);
@@ -188,7 +190,7 @@
     fn claim(&mut self, agent: &str, through: &str, late: bool) -> Result<String, Box<dyn Error>> {
         let (now, version, epoch) = (self.now, self.version, self.epoch + 1);
         let view = self.view(through)?;
-        if !view.may_take_workers(now) {
+        if !view.may_take_over_workers(now) {
             return Ok("later\n".to_string());
         }
         view.supersede(LEASE, epoch);
