--- a/src/process/node/order_tracker.rs
+++ b/src/process/node/order_tracker.rs
@@ -1,4 +1,4 @@
-//! Orders to the current instance of the runner whose outcome no poll has shown yet.
+//! Orders to the current runner instance, tracked until a poll shows their outcome.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -24,7 +24,8 @@
     Accepted,
 }
 
-/// Reported rejections that are remembered: more than can occur while an order is in transit.
+/// Maximum number of reported rejections that are remembered: more than can occur while an order is
+/// in transit.
 const MAX_REPORTED_REJECTIONS: usize = 512;
 
 /// The orders to one instance of the runner.
@@ -33,8 +34,8 @@
     polls: PollNumber,
     starts: HashMap<RunKey, PendingStart>,
     stops: HashMap<RunKey, StopState>,
-    /// Rejected starts that are not in the response to a poll sent after the rejection, and have
-    /// not been reported.
+    /// Rejections that have not been reported yet. A poll sent after the rejection has confirmed
+    /// that the run neither runs nor has ended.
     unreported: Vec<RejectedRun>,
     /// The last rejections that were reported. The planner has given up these runs, and may have
     /// sent their orders twice.
@@ -65,8 +66,8 @@
         self.polls
     }
 
-    /// Accepts an order to start a run. If `is_repeat`, an attempt of an earlier agent may have had
-    /// no response. Returns whether the order is new.
+    /// Accepts an order to start a run. If `is_repeat`, an earlier agent may have sent the same
+    /// order without receiving a response. Returns whether the order is new.
     ///
     /// ```
     /// use std::time::Instant;
@@ -82,7 +83,8 @@
         if self.starts.contains_key(key) || self.stops.contains_key(key) {
             return false;
         }
-        let rejected = self.reported.iter().chain(&self.unreported).find(|run| is_for(run, key));
+        let rejected =
+            self.reported.iter().chain(&self.unreported).find(|run| is_rejection_of(run, key));
         let start = match rejected {
             Some(rejected) => PendingStart::rejected(rejected.reason, self.polls, now),
             None => PendingStart::new(is_repeat, now),
@@ -130,7 +132,7 @@
     }
 
     /// Records that an attempt is about to be sent, if that is still the next step after the wait
-    /// for a free slot. Returns the lease that the call carries.
+    /// for a free slot. Returns the lease end that the call carries.
     ///
     /// ```
     /// use std::time::Instant;
@@ -240,8 +242,9 @@
     }
 
     /// Abandons the orders of a planner that was replaced. Polls sent from now on carry the new
-    /// epoch, after which the runner rejects calls under the old one, so the responses show the
-    /// outcome of its orders. Stops of the new planner are sent again.
+    /// epoch. A runner that has received it rejects calls of the old epoch, so that the responses
+    /// to these polls show the final outcome of the old orders. Stops that the runner has not
+    /// accepted are dropped, so that the new planner's stops of the same runs are sent.
     ///
     /// ```
     /// use greengagearch::process::node::order_tracker::OrderTracker;
@@ -344,7 +347,7 @@
         std::mem::take(&mut self.unreported)
     }
 
-    /// Discards all orders, since the instance has ended. The numbers of polls continue.
+    /// Discards all orders, since the instance has ended. The poll numbers are not reset.
     ///
     /// ```
     /// greengagearch::process::node::order_tracker::OrderTracker::default().clear();
@@ -354,7 +357,7 @@
     }
 }
 
-fn is_for(rejected: &RejectedRun, key: &RunKey) -> bool {
+fn is_rejection_of(rejected: &RejectedRun, key: &RunKey) -> bool {
     rejected.task == key.0 && rejected.run == key.1
 }
 
--- a/src/process/planning/planner_loop.rs
+++ b/src/process/planning/planner_loop.rs
@@ -46,7 +46,8 @@
 use crate::workflow::learned_interference::LearnedInterference;
 use crate::workflow::planner::Planner;
 
-/// Time between two ticks, at which the planner handles what depends on the time.
+/// Time between two ticks, at which the planner handles time-dependent work such as expired runner
+/// instances, task moves and due jobs.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 /// Minimum pause between two placement searches, as a multiple of the duration of the last one.
 /// With thousands of waiting tasks, reports arrive faster than searches end; without the pause,
@@ -66,13 +67,13 @@
     pub(super) ownership: ConfirmedOwnership,
     /// Links to node agents, by address.
     links: BTreeMap<String, NodeLink>,
-    /// Address of the agent of each runner instance.
+    /// Address of the node agent of each runner instance.
     agent_addresses: BTreeMap<InstanceId, String>,
-    /// Instances that an agent reported as ended although they run at another agent, each with the
-    /// reporting agent.
+    /// Runner instances that run at one agent but were reported as ended by another, each with the
+    /// address of the reporting agent. Each pair is logged once.
     disputed_instances: BTreeSet<(InstanceId, String)>,
-    /// Sender that every link gets a copy of.
-    events: mpsc::UnboundedSender<LinkEvent>,
+    /// Sender for the events of the links; each link has a clone.
+    event_sender: mpsc::UnboundedSender<LinkEvent>,
     /// The write in flight, if there is one.
     pub(super) write: Option<WriteTask>,
     pub(super) heartbeat_due: Instant,
@@ -92,14 +93,14 @@
 impl PlannerLoop {
     /// Plans until the ownership is lost or the process stops. Returns the reason.
     pub async fn run(shared: Arc<PlannerShared>, ownership: ConfirmedOwnership) -> String {
-        let (events, received) = mpsc::unbounded_channel();
-        let mut planning = PlannerLoop {
+        let (event_sender, events) = mpsc::unbounded_channel();
+        let mut planner_loop = PlannerLoop {
             shared,
             ownership,
             links: BTreeMap::new(),
             agent_addresses: BTreeMap::new(),
             disputed_instances: BTreeSet::new(),
-            events,
+            event_sender,
             write: None,
             heartbeat_due: clock::now(),
             interference_due: clock::now() + INTERFERENCE_PERIOD,
@@ -108,9 +109,9 @@
             next_plan_at: clock::now(),
             has_changes: false,
         };
-        match planning.run_until_lost(received).await {
+        match planner_loop.run_until_lost(events).await {
             Ok(()) => {
-                planning.release().await;
+                planner_loop.release().await;
                 "stopping".to_string()
             }
             Err(reason) => reason,
@@ -123,14 +124,14 @@
     ) -> StepResult {
         let jobs_after = self.load().await?;
         let layout = self.shared.settings.layout;
-        let hosts = vec![HOST_PARTITION.to_string()];
+        let node_partitions = vec![HOST_PARTITION.to_string()];
         let mut jobs = TableFeed::spawn(
             self.shared.clone(),
             JOB_TABLE,
             layout.partition_names(),
             Some(jobs_after),
         );
-        let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, hosts, None);
+        let mut nodes = TableFeed::spawn(self.shared.clone(), NODE_TABLE, node_partitions, None);
         let mut tick = tokio::time::interval(TICK_PERIOD);
         while !self.shared.is_stopping() {
             let shared = self.shared.clone();
@@ -158,12 +159,12 @@
     /// changes of jobs have to be read from the feed.
     async fn load(&mut self) -> Result<RowVersion, String> {
         let answered_at = self.ownership.answered_at;
-        let expired = if self.ownership.has_predecessor {
+        let leases_expired_by = if self.ownership.has_predecessor {
             predecessor_leases_expired_by(answered_at)
         } else {
             answered_at
         };
-        let mut planner = Planner::new(expired);
+        let mut planner = Planner::new(leases_expired_by);
         let layout = self.shared.settings.layout;
         let (jobs, version) = self.read_table(JOB_TABLE, &layout.partition_names()).await?;
         let partitions = [PARTITION.to_string()];
@@ -192,8 +193,8 @@
         Ok(version)
     }
 
-    /// Logs an error if there are job rows in the default partition although the layout uses
-    /// others: the setting was changed while there were jobs, and these are not planned.
+    /// Logs an error if the default partition contains job rows although the layout uses other
+    /// partitions. Such jobs were submitted before the setting was changed and are not planned.
     async fn warn_about_other_layout(&self, layout: JobLayout) -> StepResult {
         if layout == JobLayout::default() {
             return Ok(());
@@ -250,10 +251,10 @@
                 self.links.remove(&row.name.key);
                 continue;
             };
-            let (shared, events) = (self.shared.clone(), self.events.clone());
+            let (shared, event_sender) = (self.shared.clone(), self.event_sender.clone());
             let epoch = self.ownership.owner.epoch;
             let address = node.address.clone();
-            let link = || NodeLink::spawn(shared, epoch, node.address, events);
+            let link = || NodeLink::spawn(shared, epoch, node.address, event_sender);
             self.links.entry(address).or_insert_with(link);
         }
     }
@@ -272,8 +273,8 @@
             LinkEvent::Replaced(newest) if newest.epoch > self.ownership.owner.epoch => {
                 Err(format!("an agent has received calls of epoch {}", newest.epoch))
             }
-            // A newer link of this planner to the same agent has replaced the one that reports
-            // this.
+            // The event comes from an old link, which a newer link of this planner to the same
+            // agent has replaced.
             LinkEvent::Replaced(_) => Ok(()),
         }
     }
@@ -331,18 +332,18 @@
         for query in queries {
             let shared = self.shared.clone();
             tokio::spawn(async move {
-                let asked_at = clock::now();
-                let answer = match &shared.advice {
+                let queried_at = clock::now();
+                let response = match &shared.advice {
                     Some(service) => service.advise(&query).await,
                     None => None,
                 };
-                if answer.is_none() {
+                if response.is_none() {
                     let (job, _, step) = &query.step;
                     log_event(Level::Warn, "advice_failed", &[("job", job), ("step", step)]);
                     tokio::time::sleep(ADVICE_RETRY_DELAY).await;
                 }
                 if let Some(owned) = shared.owned().as_mut() {
-                    owned.planner.on_advice(answer, asked_at);
+                    owned.planner.on_advice(response, queried_at);
                 }
                 shared.wake.notify_one();
             });
@@ -364,7 +365,8 @@
             let link =
                 self.agent_addresses.get(&instance).and_then(|address| self.links.get(address));
             if let Some(link) = link {
-                // If the link has ended, a new one replaces it and the planner orders again.
+                // If the link has ended, a new one replaces it and the planner sends the orders
+                // again.
                 let _ = link.orders.send(OrderBatch { instance, number, orders });
             }
         }
--- a/src/process/planning/settings.rs
+++ b/src/process/planning/settings.rs
@@ -15,10 +15,11 @@
 /// Subtracted from the stop grace, so that a process whose drain takes all of its time still exits
 /// before it is killed.
 const STOP_RESERVE: Duration = Duration::from_millis(700);
-/// Maximum number of partitions of the job table: a takeover reads each of them, and one
+/// Maximum number of partitions of the job table. A takeover reads each of them, and one
 /// transaction of the planner names up to 100 rows.
 const MAX_JOB_PARTITIONS: u32 = 64;
-/// Default time for which the state of an ended job can be queried (`kept-for`).
+/// Default time for which the row of an ended job is retained, so that its state can be queried
+/// (`kept-for`).
 const DEFAULT_JOB_RETENTION: Duration = Duration::from_secs(120);
 
 /// Settings of a planner process.
--- a/src/process/planning/shared.rs
+++ b/src/process/planning/shared.rs
@@ -33,7 +33,7 @@
     /// The planner's state.
     pub planner: Planner,
     /// When the latest store call was sent whose response confirmed this ownership. Leases are
-    /// granted for a limited time from here on.
+    /// granted for a limited time from this instant.
     pub confirmed_at: Instant,
 }
 
@@ -50,7 +50,7 @@
 pub struct PlannerShared {
     /// The process's settings.
     pub settings: PlannerSettings,
-    /// The store, which also records how its calls end.
+    /// The store, with a wrapper that records the result of each call.
     pub store: Arc<ObservedStore>,
     /// The advice service, if there is one.
     pub advice: Option<Arc<dyn AdviceService>>,
@@ -151,7 +151,7 @@
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Marks the process as stopping and wakes the planner's loop.
+    /// Marks the process as stopping and wakes the planner's loop or the ownership elector.
     pub fn set_stopping(&self) {
         self.is_stopping.store(true, Ordering::Release);
         self.wake.notify_one();
--- a/src/process/planning/table_feed.rs
+++ b/src/process/planning/table_feed.rs
@@ -45,8 +45,8 @@
         TableFeed { rows, task: tokio::spawn(run_feed(shared, table, partitions, after, sender)) }
     }
 
-    /// Waits for the next rows: changed ones, or all rows if the store has dropped the history in
-    /// between.
+    /// Waits for the next rows: the changed ones, or all rows if the store no longer has the
+    /// history of the changes.
     pub async fn next(&mut self) -> Vec<StoredRow> {
         match self.rows.recv().await {
             Some(rows) => rows,
--- a/src/request/deadline_queue.rs
+++ b/src/request/deadline_queue.rs
@@ -71,11 +71,11 @@
     /// assert!(DeadlineQueue::default().drain_before(Instant::now()).is_empty());
     /// ```
     pub fn drain_before(&mut self, min_deadline: Instant) -> Vec<QueuedRequest> {
-        let mut taken = Vec::new();
+        let mut drained = Vec::new();
         while self.requests.first_key_value().is_some_and(|((end, _), _)| *end < min_deadline) {
-            taken.extend(self.pop());
+            drained.extend(self.pop());
         }
-        taken
+        drained
     }
 
     /// Removes a request whose caller has disconnected. Returns whether it was queued.
@@ -108,8 +108,9 @@
         self.requests.range(..(deadline, TicketNumber::MAX)).count()
     }
 
-    /// Removes and returns a request of the caller with the most waiting requests, to free its
-    /// place for another caller: the one of that caller with the latest deadline up to `deadline`.
+    /// Frees the place of a request for another caller. Among the requests of the caller with the
+    /// most waiting requests, removes and returns the one with the latest deadline up to
+    /// `deadline`.
     ///
     /// ```
     /// use std::time::Instant;
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -72,11 +72,13 @@
     UnknownService,
     /// No endpoint of the service is announced.
     NoEndpoint,
-    /// No endpoint of the service is usable, and at least one is ejected after repeated failures.
+    /// No endpoint of the service is usable, and at least one is temporarily ejected after repeated
+    /// failures.
     EndpointsEjected,
     /// The request would miss its deadline in the queue, or its attempts are used up.
     Overloaded,
-    /// The request was displaced from a full queue of which its caller holds more than its share.
+    /// The request was displaced from a long queue, of which its caller had more than its share, by
+    /// a request of another caller.
     CallerShare,
     /// The deadline passed before the request was sent to an endpoint.
     DeadlinePassed,
@@ -203,7 +205,7 @@
     /// respond.
     Unsettled,
     /// This attempt was not run, but another attempt with the same id may have been, and no entry
-    /// that would know of it currently acts as owner.
+    /// that could know of it currently owns the partition.
     NoOwner,
 }
 
--- a/src/request/request_ledger.rs
+++ b/src/request/request_ledger.rs
@@ -34,7 +34,7 @@
     Conflict,
 }
 
-/// Ids of the requests of one owner with their outcomes.
+/// Requests that one owner of a partition runs or has run, with their outcomes, by id.
 #[derive(Debug, Default)]
 pub struct RequestLedger {
     ids: ExpiringIdMap<LedgerEntry>,
@@ -146,8 +146,8 @@
         ledger.begin(id, 1, Duration::from_secs(10));
         let outcome = RequestOutcome::Unknown(UnknownReason::AgentSilent);
         ledger.end(id, &outcome);
-        let verdict = ledger.begin(id, 1, Duration::from_secs(10));
-        assert_eq!(verdict, LedgerDecision::Ended(outcome));
+        let decision = ledger.begin(id, 1, Duration::from_secs(10));
+        assert_eq!(decision, LedgerDecision::Ended(outcome));
     }
 
     #[test]
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -3,8 +3,7 @@
 /// Largest number of unused retries that can accumulate.
 const MAX_BALANCE: f64 = 20.0;
 
-/// Token bucket filled by requests: each request adds a share of a retry, each retry takes a whole
-/// one.
+/// Token bucket of retries: each request adds `share` tokens, each retry takes one token.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
--- a/src/workflow/pair_interference.rs
+++ b/src/workflow/pair_interference.rs
@@ -8,10 +8,9 @@
 //! in terms of load = 1 − idle tail / tail.
 //!
 //! Two kinds of values are estimated. The load of a serving step without best-effort tasks
-//! fluctuates within seconds, equally for all tasks of the step on any worker (measured in the
-//! scenario bridgeway quiet-1). For each pair of a serving and a best-effort image, the model has
-//! the load that one best-effort task at full pace adds. A Kalman filter with a diagonal covariance
-//! matrix updates both.
+//! fluctuates within seconds, equally for all tasks of the step on any worker. For each pair of a
+//! serving and a best-effort image, the model has the load that one best-effort task at full pace
+//! adds. A Kalman filter with a diagonal covariance matrix updates both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/workflow/unplaceable_requests.rs
+++ b/src/workflow/unplaceable_requests.rs
@@ -13,7 +13,7 @@
 /// The unplaceable requests of the current round.
 #[derive(Debug, Default)]
 pub(crate) struct UnplaceableRequests {
-    known: Vec<UnplaceableRequest>,
+    requests: Vec<UnplaceableRequest>,
 }
 
 #[derive(Debug)]
@@ -28,13 +28,13 @@
 impl UnplaceableRequests {
     /// Whether a request is known to be unplaceable in this round.
     pub(crate) fn covers(&self, request: &PlacementRequest<'_>) -> bool {
-        is_generic(request) && self.known.iter().any(|known| known.covers(request))
+        is_generic(request) && self.requests.iter().any(|known| known.covers(request))
     }
 
     /// Records that no worker was found for a request.
     pub(crate) fn add(&mut self, request: &PlacementRequest<'_>) {
         if is_generic(request) {
-            self.known.push(UnplaceableRequest {
+            self.requests.push(UnplaceableRequest {
                 service: request.service.to_string(),
                 required_label: request.step.required_label.clone(),
                 best_effort: best_effort_of(request).map(|(image, risk)| (image.to_string(), risk)),
@@ -58,7 +58,8 @@
     request.step.best_effort.then_some((request.step.image.as_str(), request.risk))
 }
 
-/// Whether a request depends only on properties that other tasks may share.
+/// Whether a request has no restriction that is specific to its task: no rack, excluded worker,
+/// ticket or limit per worker.
 fn is_generic(request: &PlacementRequest<'_>) -> bool {
     let is_unrestricted = request.rack.is_none() && request.excluded_worker.is_none();
     is_unrestricted && !request.needs_ticket && request.step.max_per_worker == 0
