--- a/src/process/planning/planner_client.rs
+++ b/src/process/planning/planner_client.rs
@@ -106,9 +106,7 @@
 }
 
 fn store_unreachable() -> RowError {
-    RowError::Refused {
-        reason: "the store does not answer the relaying process either".to_string(),
-    }
+    RowError::Refused { reason: "the store does not answer there either".to_string() }
 }
 
 /// Starts the RPC server for other planner processes.
--- a/src/process/planning/store_access.rs
+++ b/src/process/planning/store_access.rs
@@ -208,11 +208,11 @@
 }
 
 fn unreachable_here() -> RowError {
-    RowError::Refused { reason: "the store does not answer this process".to_string() }
+    RowError::Refused { reason: "the store does not answer here".to_string() }
 }
 
 fn timed_out() -> RowError {
-    RowError::Ambiguous { reason: "no response before the timeout".to_string() }
+    RowError::Ambiguous { reason: "no answer in time".to_string() }
 }
 
 fn is_worth_relaying(error: &RowError) -> bool {
